--- a/src/fairness/fair_queue.h
+++ b/src/fairness/fair_queue.h
@@ -1,4 +1,4 @@
-// The waiting requests of one pool, served in order of weighted service.
+// Weighted fair queue of the waiting requests of one pool.
 #pragma once
 
 #include <cstddef>
@@ -16,7 +16,7 @@
 
 namespace burdocklock::fairness {
 
-/// A customer's place in a pool, as operators see it.
+/// Snapshot of one customer's queue and service in a pool.
 struct customer_service {
   customer_id customer;
   double share = 1.0;
@@ -27,68 +27,76 @@
   service_units charged = 0;
 };
 
-/// Start-time fair queueing with virtual counters: the backlogged customer
-/// with the least weighted service goes first. A customer that becomes
-/// backlogged is lifted to the least counter of the backlogged ones, so idle
-/// time earns no credit. A customer that was passed over for the age limit
-/// goes first once per age limit.
+/// Start-time fair queueing: the backlogged customer with the smallest virtual
+/// service is served first. When a customer becomes backlogged, its virtual
+/// service is raised to the minimum of the backlogged customers, so idle time
+/// earns no credit. To prevent starvation, a customer that has not been served
+/// for `age_limit` takes precedence for one request.
 ///
-/// Invariants: a customer is in `order_` exactly while it has waiting
-/// requests; counters change by charges, refunds and
-/// `SetVirtualService` only.
+/// Invariants: a customer is in `backlogged_` if and only if it has waiting
+/// requests; apart from the raise on becoming backlogged, virtual service
+/// changes only by charges, refunds and `SetVirtualService`.
 class fair_queue {
  public:
   explicit fair_queue(duration age_limit) : age_limit_(age_limit) {}
 
-  /// Sets the weight with which later charges are divided.
+  /// Sets the customer's weight, by which later charges are divided.
   void SetShare(const customer_id& customer, double share);
 
   void Push(const customer_id& customer, request_seq request, time_point now);
-  /// Puts a request that was already taken back to the head of its line.
+  /// Returns a dequeued request to the head of its customer's queue.
   void PushFront(const customer_id& customer,
                  request_seq request,
                  time_point now);
-  /// Removes a waiting request; false if it does not wait.
+  /// Removes a waiting request; false if it is not in the queue.
   bool Remove(const customer_id& customer, request_seq request);
 
-  /// Offers the heads of the customers' lines in order of precedence until
-  /// `take` accepts one, which is then removed. Returns true if one was taken.
+  /// Passes the head of each customer's queue to `take`, in service order,
+  /// until it accepts one, which is then removed. Returns true if one was
+  /// accepted.
   bool TakeNext(time_point now,
                 const std::function<bool(request_seq request)>& take);
 
-  /// Adds service to a customer's counter.
+  /// Adds to the customer's received service.
   void Charge(const customer_id& customer, service_units units);
-  /// Sets a customer's counter to its value over the whole fleet.
+  /// Replaces the customer's virtual service by its fleet-wide value.
   void SetVirtualService(const customer_id& customer, double value);
-  /// Takes back service that was charged but not received.
+  /// Reverses a charge for service that was not received.
   void Refund(const customer_id& customer, service_units units);
 
   [[nodiscard]] std::size_t size() const { return size_; }
   [[nodiscard]] std::size_t Waiting(const customer_id& customer) const;
-  [[nodiscard]] std::vector<customer_service> View() const;
+  [[nodiscard]] std::vector<customer_service> Snapshot() const;
 
  private:
-  struct line {
+  struct customer_queue {
     double share = 1.0;
     double virtual_service = 0;
     service_units charged = 0;
     std::deque<request_seq> requests;
-    /// When the line was last served, or became backlogged.
+    /// When the queue was last served or became backlogged.
     time_point last_served{};
   };
   using order_key = std::pair<double, customer_id>;
 
-  line& LineOf(const customer_id& customer) { return lines_[customer]; }
-  void MarkBacklogged(const customer_id& customer, line& line, time_point now);
+  customer_queue& QueueOf(const customer_id& customer) {
+    return queues_[customer];
+  }
+  void MarkBacklogged(const customer_id& customer,
+                      customer_queue& queue,
+                      time_point now);
   void AddService(const customer_id& customer, service_units units);
-  std::vector<customer_id> Precedence(time_point now) const;
-  void TakeHead(const customer_id& customer, line& line, time_point now);
+  std::vector<customer_id> ServiceOrder(time_point now) const;
+  void PopHead(const customer_id& customer,
+               customer_queue& queue,
+               time_point now);
 
   duration age_limit_;
-  std::unordered_map<customer_id, line> lines_;
-  std::set<order_key> order_;
-  /// Counter of the line served last; lifts customers when nobody waits.
-  double floor_ = 0;
+  std::unordered_map<customer_id, customer_queue> queues_;
+  std::set<order_key> backlogged_;
+  /// Highest virtual service of any queue at the time it was served; the
+  /// starting value for a customer that becomes backlogged while no other is.
+  double virtual_time_ = 0;
   std::size_t size_ = 0;
 };
 
--- a/src/fairness/internal/fair_queue.cc
+++ b/src/fairness/internal/fair_queue.cc
@@ -6,50 +6,51 @@
 namespace burdocklock::fairness {
 
 void fair_queue::SetShare(const customer_id& customer, double share) {
-  LineOf(customer).share = share;
+  QueueOf(customer).share = share;
 }
 
 void fair_queue::Push(const customer_id& customer,
                       request_seq request,
                       time_point now) {
-  line& line = LineOf(customer);
-  MarkBacklogged(customer, line, now);
-  line.requests.push_back(request);
+  customer_queue& queue = QueueOf(customer);
+  MarkBacklogged(customer, queue, now);
+  queue.requests.push_back(request);
   ++size_;
 }
 
 void fair_queue::PushFront(const customer_id& customer,
                            request_seq request,
                            time_point now) {
-  line& line = LineOf(customer);
-  MarkBacklogged(customer, line, now);
-  line.requests.push_front(request);
+  customer_queue& queue = QueueOf(customer);
+  MarkBacklogged(customer, queue, now);
+  queue.requests.push_front(request);
   ++size_;
 }
 
 void fair_queue::MarkBacklogged(const customer_id& customer,
-                                line& line,
+                                customer_queue& queue,
                                 time_point now) {
-  if (!line.requests.empty()) {
+  if (!queue.requests.empty()) {
     return;
   }
-  const double least = order_.empty() ? floor_ : order_.begin()->first;
-  line.virtual_service = std::max(line.virtual_service, least);
-  line.last_served = now;
-  order_.emplace(line.virtual_service, customer);
+  const double min_virtual_service =
+      backlogged_.empty() ? virtual_time_ : backlogged_.begin()->first;
+  queue.virtual_service = std::max(queue.virtual_service, min_virtual_service);
+  queue.last_served = now;
+  backlogged_.emplace(queue.virtual_service, customer);
 }
 
 bool fair_queue::Remove(const customer_id& customer, request_seq request) {
-  line& line = LineOf(customer);
+  customer_queue& queue = QueueOf(customer);
   const auto found =
-      std::find(line.requests.begin(), line.requests.end(), request);
-  if (found == line.requests.end()) {
+      std::find(queue.requests.begin(), queue.requests.end(), request);
+  if (found == queue.requests.end()) {
     return false;
   }
-  line.requests.erase(found);
+  queue.requests.erase(found);
   --size_;
-  if (line.requests.empty()) {
-    order_.erase({line.virtual_service, customer});
+  if (queue.requests.empty()) {
+    backlogged_.erase({queue.virtual_service, customer});
   }
   return true;
 }
@@ -57,36 +58,37 @@
 bool fair_queue::TakeNext(
     time_point now,
     const std::function<bool(request_seq request)>& take) {
-  for (const customer_id& customer : Precedence(now)) {
-    line& line = LineOf(customer);
-    if (take(line.requests.front())) {
-      TakeHead(customer, line, now);
+  for (const customer_id& customer : ServiceOrder(now)) {
+    customer_queue& queue = QueueOf(customer);
+    if (take(queue.requests.front())) {
+      PopHead(customer, queue, now);
       return true;
     }
   }
   return false;
 }
 
-std::vector<customer_id> fair_queue::Precedence(time_point now) const {
-  std::vector<customer_id> aged;
-  std::vector<customer_id> rest;
-  for (const auto& [virtual_service, customer] : order_) {
-    const bool is_aged = now - lines_.at(customer).last_served >= age_limit_;
-    (is_aged ? aged : rest).push_back(customer);
+std::vector<customer_id> fair_queue::ServiceOrder(time_point now) const {
+  std::vector<customer_id> overdue;
+  std::vector<customer_id> others;
+  for (const auto& [virtual_service, customer] : backlogged_) {
+    const bool is_overdue =
+        now - queues_.at(customer).last_served >= age_limit_;
+    (is_overdue ? overdue : others).push_back(customer);
   }
-  aged.insert(aged.end(), rest.begin(), rest.end());
-  return aged;
+  overdue.insert(overdue.end(), others.begin(), others.end());
+  return overdue;
 }
 
-void fair_queue::TakeHead(const customer_id& customer,
-                          line& line,
-                          time_point now) {
-  line.requests.pop_front();
+void fair_queue::PopHead(const customer_id& customer,
+                         customer_queue& queue,
+                         time_point now) {
+  queue.requests.pop_front();
   --size_;
-  line.last_served = now;
-  floor_ = std::max(floor_, line.virtual_service);
-  if (line.requests.empty()) {
-    order_.erase({line.virtual_service, customer});
+  queue.last_served = now;
+  virtual_time_ = std::max(virtual_time_, queue.virtual_service);
+  if (queue.requests.empty()) {
+    backlogged_.erase({queue.virtual_service, customer});
   }
 }
 
@@ -99,50 +101,50 @@
 }
 
 void fair_queue::SetVirtualService(const customer_id& customer, double value) {
-  line& line = LineOf(customer);
-  const bool backlogged = !line.requests.empty();
+  customer_queue& queue = QueueOf(customer);
+  const bool backlogged = !queue.requests.empty();
   if (backlogged) {
-    order_.erase({line.virtual_service, customer});
+    backlogged_.erase({queue.virtual_service, customer});
   }
-  line.virtual_service = value;
+  queue.virtual_service = value;
   if (backlogged) {
-    order_.emplace(value, customer);
+    backlogged_.emplace(value, customer);
   }
 }
 
 void fair_queue::AddService(const customer_id& customer, service_units units) {
-  line& line = LineOf(customer);
-  const bool backlogged = !line.requests.empty();
+  customer_queue& queue = QueueOf(customer);
+  const bool backlogged = !queue.requests.empty();
   if (backlogged) {
-    order_.erase({line.virtual_service, customer});
+    backlogged_.erase({queue.virtual_service, customer});
   }
-  line.charged += units;
-  line.virtual_service += units / line.share;
+  queue.charged += units;
+  queue.virtual_service += units / queue.share;
   if (backlogged) {
-    order_.emplace(line.virtual_service, customer);
+    backlogged_.emplace(queue.virtual_service, customer);
   }
 }
 
 std::size_t fair_queue::Waiting(const customer_id& customer) const {
-  const auto found = lines_.find(customer);
-  return found == lines_.end() ? 0 : found->second.requests.size();
+  const auto found = queues_.find(customer);
+  return found == queues_.end() ? 0 : found->second.requests.size();
 }
 
-std::vector<customer_service> fair_queue::View() const {
-  std::vector<customer_service> views;
-  views.reserve(lines_.size());
-  for (const auto& [customer, line] : lines_) {
-    views.push_back({.customer = customer,
-                     .share = line.share,
-                     .waiting = line.requests.size(),
-                     .virtual_service = line.virtual_service,
-                     .charged = line.charged});
+std::vector<customer_service> fair_queue::Snapshot() const {
+  std::vector<customer_service> snapshot;
+  snapshot.reserve(queues_.size());
+  for (const auto& [customer, queue] : queues_) {
+    snapshot.push_back({.customer = customer,
+                        .share = queue.share,
+                        .waiting = queue.requests.size(),
+                        .virtual_service = queue.virtual_service,
+                        .charged = queue.charged});
   }
-  std::sort(views.begin(), views.end(),
+  std::sort(snapshot.begin(), snapshot.end(),
             [](const customer_service& a, const customer_service& b) {
               return a.customer < b.customer;
             });
-  return views;
+  return snapshot;
 }
 
 }  // namespace burdocklock::fairness
--- a/src/fairness/tests/fair_queue_unittest.cc
+++ b/src/fairness/tests/fair_queue_unittest.cc
@@ -1,4 +1,4 @@
-// Properties of the fair queue.
+// Fairness and starvation properties of fair_queue.
 #include "fairness/fair_queue.h"
 
 #include <cmath>
@@ -16,11 +16,11 @@
 struct queue_fixture {
   fair_queue queue{seconds(10)};
   time_point now{seconds(1000)};
-  std::uint64_t last = 0;
+  std::uint64_t last_id = 0;
   std::map<request_seq, customer_id> owners;
 
   void Push(const customer_id& customer) {
-    const request_seq id(++last);
+    const request_seq id(++last_id);
     owners.emplace(id, customer);
     queue.Push(customer, id, now);
   }
@@ -54,8 +54,10 @@
   CHECK(std::abs(served[kLarge] - 150) <= 1);
 }
 
-TEST_CASE_METHOD(queue_fixture,
-                 "fair queue: customer returns from idling: has no credit") {
+TEST_CASE_METHOD(
+    queue_fixture,
+    "fair queue: customer becomes backlogged again: idle time earns no "
+    "credit") {
   Push(kLarge);
   for (int i = 0; i < 100; ++i) {
     Push(kLarge);
@@ -64,17 +66,20 @@
   Push(kSmall);
   Push(kSmall);
   Push(kSmall);
-  int small_in_row = 0;
+  int consecutive_small = 0;
   while (Take() == kSmall) {
     queue.Charge(kSmall, 10);
-    ++small_in_row;
+    ++consecutive_small;
   }
-  CHECK(small_in_row <= 1);
+  CHECK(consecutive_small <= 1);
 }
 
-TEST_CASE_METHOD(queue_fixture,
-                 "fair queue: customer in debt: served once per age limit") {
-  // The large customer is never idle, so it keeps its lower counter.
+TEST_CASE_METHOD(
+    queue_fixture,
+    "fair queue: customer with high virtual service: served once per "
+    "age limit") {
+  // The large customer stays backlogged, so its lower virtual service is never
+  // raised.
   Push(kLarge);
   Push(kSmall);
   Push(kSmall);
@@ -93,9 +98,11 @@
   CHECK(Take() == kLarge);
 }
 
-TEST_CASE("fair queue: random work: gap of backlogged customers is bounded") {
+TEST_CASE(
+    "fair queue: random costs: service gap of backlogged customers is "
+    "bounded") {
   rc::prop("gap <= 2 * largest cost / share", [] {
-    queue_fixture world;
+    queue_fixture fixture;
     constexpr int kCustomers = 4;
     constexpr int kMaxCost = 50;
     std::vector<customer_id> customers;
@@ -103,16 +110,16 @@
     for (int i = 0; i < kCustomers; ++i) {
       customers.emplace_back("c" + std::to_string(i));
       shares[customers.back()] = *rc::gen::inRange(1, 9);
-      world.queue.SetShare(customers.back(), shares[customers.back()]);
+      fixture.queue.SetShare(customers.back(), shares[customers.back()]);
       for (int n = 0; n < 300; ++n) {
-        world.Push(customers.back());
+        fixture.Push(customers.back());
       }
     }
     std::map<customer_id, double> service;
     for (const int cost : *rc::gen::container<std::vector<int>>(
              300, rc::gen::inRange(1, kMaxCost))) {
-      const customer_id next = world.Take();
-      world.queue.Charge(next, cost);
+      const customer_id next = fixture.Take();
+      fixture.queue.Charge(next, cost);
       service[next] += cost / shares[next];
       for (const customer_id& a : customers) {
         for (const customer_id& b : customers) {
--- a/src/refusals/internal/refusal.cc
+++ b/src/refusals/internal/refusal.cc
@@ -1,4 +1,4 @@
-// Names and HTTP mapping of refusals.
+// Names, HTTP statuses and titles of refusal reasons.
 #include "refusals/types/refusal.h"
 
 #include <array>
@@ -13,7 +13,7 @@
   const char* description;
 };
 
-// In the order of refusal_reason.
+// Indexed by refusal_reason.
 constexpr std::array<reason_entry,
                      static_cast<std::size_t>(kLastRefusalReason) + 1>
     kReasons = {{
@@ -53,16 +53,18 @@
 unsigned HttpStatus(refusal_reason reason, run_state run) {
   constexpr unsigned kTooManyRequests = 429;
   constexpr unsigned kBadGateway = 502;
-  constexpr unsigned kUnavailable = 503;
+  constexpr unsigned kServiceUnavailable = 503;
   constexpr unsigned kGatewayTimeout = 504;
   const unsigned status = HttpStatus(reason);
-  const bool promises = status == kTooManyRequests || status == kUnavailable;
-  const bool promises_nothing =
+  const bool implies_not_run =
+      status == kTooManyRequests || status == kServiceUnavailable;
+  const bool implies_unknown =
       status == kBadGateway || status == kGatewayTimeout;
-  if (run == run_state::kUnknown && promises) {
+  if (run == run_state::kUnknown && implies_not_run) {
     return kBadGateway;
   }
-  return run == run_state::kNotRun && promises_nothing ? kUnavailable : status;
+  return run == run_state::kNotRun && implies_unknown ? kServiceUnavailable
+                                                      : status;
 }
 
 const char* Describe(refusal_reason reason) {
--- a/src/refusals/types/refusal.h
+++ b/src/refusals/types/refusal.h
@@ -1,4 +1,5 @@
-// Refusals: every request that did not get an answer of a target.
+// Refusals: requests that end with an error of this daemon instead of the whole
+// answer of a target.
 #pragma once
 
 #include <chrono>
@@ -30,9 +31,9 @@
 
 inline constexpr refusal_reason kLastRefusalReason = refusal_reason::kDeadline;
 
-/// Whether a target may have begun the work.
+/// Whether a target may have started executing the request.
 enum class run_state {
-  /// Certainly not: no byte reached a target, or the target said so.
+  /// No byte reached a target, or the target reported that it did not execute.
   kNotRun,
   kUnknown,
 };
@@ -41,14 +42,15 @@
   return run == run_state::kNotRun ? "not_run" : "unknown";
 }
 
-/// Name of a reason as callers, logs and metrics see it.
+/// Name of the reason in responses, logs and metrics.
 const char* ToString(refusal_reason reason);
-/// HTTP status with which a reason is answered.
+/// HTTP status of a refusal, regardless of whether the request ran.
 unsigned HttpStatus(refusal_reason reason);
-/// As above, but 429 and 503 only if the work certainly has not run, and 503
-/// whenever that is certain.
+/// HTTP status that is consistent with `run`. Callers may take 429 and 503 as
+/// a guarantee that the request did not run, so these become 502 if it may
+/// have; 502 and 504 become 503 if it certainly did not.
 unsigned HttpStatus(refusal_reason reason, run_state run);
-/// One sentence for people.
+/// Human-readable title, one sentence.
 const char* Describe(refusal_reason reason);
 
 struct refusal {
@@ -58,7 +60,7 @@
   std::optional<request_seq> request;
   refusal_reason reason = refusal_reason::kMalformedRequest;
   run_state run = run_state::kNotRun;
-  /// Advice to the caller; absent where a repeat cannot help.
+  /// Value of Retry-After; absent if a retry cannot help or is not safe.
   std::optional<std::chrono::milliseconds> retry_after;
   std::string detail;
 };
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -199,7 +199,7 @@
   std::vector<std::pair<pool_id, std::vector<fairness::customer_service>>> view;
   view.reserve(pools_.size());
   for (const auto& [pool, state] : pools_) {
-    view.emplace_back(pool, state.queue.View());
+    view.emplace_back(pool, state.queue.Snapshot());
   }
   std::sort(view.begin(), view.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -209,7 +209,7 @@
 std::vector<request_router::customer_load> request_router::Load() const {
   std::map<std::pair<pool_id, customer_id>, customer_load> loads;
   for (const auto& [pool, state] : pools_) {
-    for (const fairness::customer_service& entry : state.queue.View()) {
+    for (const fairness::customer_service& entry : state.queue.Snapshot()) {
       loads[{pool, entry.customer}] = {
           .pool = pool,
           .customer = entry.customer,
