--- a/src/routing/i_routing_observer.h
+++ b/src/routing/i_routing_observer.h
@@ -1,4 +1,4 @@
-// Port: measurements of the request path.
+// Interface for latency measurements of the request path.
 #pragma once
 
 #include "framework/types/time.h"
@@ -10,7 +10,7 @@
   virtual ~i_routing_observer() = default;
 
   virtual void OnQueueWait(duration wait, time_point now) = 0;
-  /// From dispatch to the first piece of the answer.
+  /// `latency` is measured from dispatch to the first part of the response.
   virtual void OnFirstOutput(duration latency, time_point now) = 0;
 };
 
--- a/src/routing/internal/attempt_accounting.cc
+++ b/src/routing/internal/attempt_accounting.cc
@@ -1,4 +1,5 @@
-// Charges service and collects evidence about targets from attempt events.
+// Part of request_router: charges service and records target health from
+// attempt events.
 #include <type_traits>
 
 #include "routing/request_router.h"
@@ -7,7 +8,7 @@
 
 namespace {
 
-// Failures that say nothing about the target's health.
+// Whether the failure gives no evidence about the target's health.
 bool IsNeutral(const attempt_failed& failure,
                std::optional<refusals::refusal_reason> cancel_reason) {
   switch (failure.kind) {
@@ -38,9 +39,9 @@
           .queue.Charge(record.spec.customer,
                         value.tokens * fairness::kUnitsPerOutputToken);
     } else if constexpr (std::is_same_v<event_type, attempt_completed>) {
-      OnAttemptGood(record, value, out);
+      OnAttemptCompleted(record, value, out);
     } else if constexpr (std::is_same_v<event_type, attempt_failed>) {
-      OnAttemptBad(record, value, now, out);
+      OnAttemptFailed(record, value, now, out);
     }
   };
   std::visit(visitor, event);
@@ -49,10 +50,10 @@
 void request_router::OnFirstOutput(record& record,
                                    time_point now,
                                    effects& out) {
-  const duration latency = now - record.life.dispatched();
+  const duration latency = now - record.lifecycle.dispatched();
   observer_.OnFirstOutput(latency, now);
   if (!record.first_output) {
-    record.first_output = now - record.life.arrived();
+    record.first_output = now - record.lifecycle.arrived();
   }
   if (record.spec.kind != call_kind::kStreamedGeneration) {
     return;
@@ -60,26 +61,27 @@
   if (directory_.ReportFirstOutput(*record.grant, latency)) {
     ReportRamp(record.grant->target, "first_output_late", out);
   }
-  // The target has room for another prompt.
+  // The target can accept another prompt once it has processed this one.
   if (record.spec.prompt) {
     DispatchPool(PoolOf(record.spec.pool), record.spec.pool, now, out);
   }
 }
 
-void request_router::OnAttemptGood(record& record,
-                                   const attempt_completed& completed,
-                                   effects& out) {
+void request_router::OnAttemptCompleted(record& record,
+                                        const attempt_completed& completed,
+                                        effects& out) {
   if (completed.reported && record.spec.kind != call_kind::kServiceCall) {
-    const auto unseen_output =
+    const auto unreported_output_tokens =
         static_cast<double>(completed.reported->output_tokens) -
         record.output_tokens;
-    const double prompt_error =
+    const double prompt_cost_correction =
         completed.reported->prompt_tokens * fairness::kUnitsPerPromptToken -
-        record.charged_prompt;
+        record.charged_prompt_cost;
     PoolOf(record.spec.pool)
         .queue.Charge(
             record.spec.customer,
-            unseen_output * fairness::kUnitsPerOutputToken + prompt_error);
+            unreported_output_tokens * fairness::kUnitsPerOutputToken +
+                prompt_cost_correction);
   }
   --totals_.in_flight;
   if (directory_.ReleaseGood(*record.grant)) {
@@ -88,23 +90,23 @@
   record.grant.reset();
 }
 
-void request_router::OnAttemptBad(record& record,
-                                  const attempt_failed& failure,
-                                  time_point now,
-                                  effects& out) {
+void request_router::OnAttemptFailed(record& record,
+                                     const attempt_failed& failure,
+                                     time_point now,
+                                     effects& out) {
   if (!failure.sent) {
     PoolOf(record.spec.pool)
-        .queue.Refund(record.spec.customer, record.charged_prompt);
+        .queue.Refund(record.spec.customer, record.charged_prompt_cost);
   }
-  if (failure.kind == failure_kind::kNotAdmitted && record.share_tokens > 0) {
+  if (failure.kind == failure_kind::kNotAdmitted && record.share_cost > 0) {
     PoolOf(record.spec.pool)
-        .shares.OnReturned(record.spec.customer, record.share_tokens, now);
+        .shares.OnReturned(record.spec.customer, record.share_cost, now);
   }
   --totals_.in_flight;
   if (failure.kind == failure_kind::kOtherTarget) {
     directory_.NoteGone(*record.grant);
   }
-  if (IsNeutral(failure, record.life.cancel_reason())) {
+  if (IsNeutral(failure, record.lifecycle.cancel_reason())) {
     directory_.ReleaseNeutral(*record.grant);
   } else {
     directory_.ReleaseBad(*record.grant, now);
--- a/src/routing/internal/request_dispatch.cc
+++ b/src/routing/internal/request_dispatch.cc
@@ -1,4 +1,4 @@
-// Queueing and dispatching of request_router.
+// Part of request_router: queueing and dispatch.
 #include <algorithm>
 
 #include "routing/request_router.h"
@@ -9,13 +9,13 @@
 
 namespace {
 
-// Weight of the newest sample in the smoothed waiting time.
-constexpr double kWaitSmoothing = 0.1;
-// A generation waits for a target that keeps its shared parts for this part of
-// its latency objective.
-constexpr int kPatiencePart = 4;
-// How soon a waiting generation is tried again although nothing has happened.
-constexpr std::chrono::milliseconds kLookAgainPeriod{40};
+// Weight of the newest sample in the exponential average of the queue wait.
+constexpr double kWaitAverageWeight = 0.1;
+// A generation waits for a target that has its shared prompt parts cached for
+// at most `latency_objective / kCachedTargetWaitDivisor`.
+constexpr int kCachedTargetWaitDivisor = 4;
+// Interval at which dispatch of waiting requests is retried without an event.
+constexpr std::chrono::milliseconds kDispatchRetryInterval{40};
 
 }  // namespace
 
@@ -42,9 +42,9 @@
   const request_seq id = record.spec.id;
   state.queue.Push(record.spec.customer, id, now);
   ++totals_.waiting;
-  Arm(id, record);
+  ScheduleDeadline(id, record);
   DispatchPool(state, record.spec.pool, now, out);
-  RefuseWithoutTarget(now, out);
+  RefuseForNoTarget(now, out);
 }
 
 void request_router::DispatchAll(time_point now, effects& out) {
@@ -57,7 +57,7 @@
                                   const pool_id& pool,
                                   time_point now,
                                   effects& out) {
-  state.look_again_at = kNever;
+  state.next_dispatch_at = kNever;
   if (state.queue.size() == 0) {
     return;
   }
@@ -67,7 +67,7 @@
       return TryDispatch(state, request, now, out);
     });
   }
-  NoteUsability(state, pool, now);
+  UpdateTargetAvailability(state, pool, now);
 }
 
 bool request_router::TryDispatch(pool_state& state,
@@ -79,35 +79,35 @@
       record.spec.prompt && state.shares.IsOver(record.spec.customer, now);
   std::optional<targets::choice> choice = ChooseTarget(record, over_share, now);
   if (!choice) {
-    // Rooms that others free are not announced here.
-    state.look_again_at = now + kLookAgainPeriod;
+    // Capacity that other routers release is not signalled to this one.
+    state.next_dispatch_at = now + kDispatchRetryInterval;
     return false;
   }
-  const bool is_retry = !record.tried.empty();
-  record.life.Dispatch(now);
-  record.tried.push_back(choice->grant.target);
+  const bool is_retry = !record.tried_targets.empty();
+  record.lifecycle.Dispatch(now);
+  record.tried_targets.push_back(choice->grant.target);
   record.grant = choice->grant;
   record.output_tokens = 0;
-  record.charged_prompt =
+  record.charged_prompt_cost =
       record.spec.kind == call_kind::kServiceCall
           ? fairness::kUnitsPerServiceCall
           : record.spec.prompt_tokens * fairness::kUnitsPerPromptToken;
-  state.queue.Charge(record.spec.customer, record.charged_prompt);
-  if (record.share_tokens > 0 && !is_retry) {
-    state.shares.OnBegun(record.spec.customer, record.share_tokens, now);
+  state.queue.Charge(record.spec.customer, record.charged_prompt_cost);
+  if (record.share_cost > 0 && !is_retry) {
+    state.shares.OnBegun(record.spec.customer, record.share_cost, now);
   }
   --totals_.waiting;
   ++totals_.in_flight;
-  const duration waited = now - record.life.arrived();
+  const duration waited = now - record.lifecycle.arrived();
   observer_.OnQueueWait(waited, now);
-  state.usual_wait_s +=
-      kWaitSmoothing * (ToSeconds(waited) - state.usual_wait_s);
-  Arm(request, record);
+  state.average_wait_s +=
+      kWaitAverageWeight * (ToSeconds(waited) - state.average_wait_s);
+  ScheduleDeadline(request, record);
   out.emplace_back(
       routing_decision{.request = request,
                        .customer = record.spec.customer,
                        .pool = record.spec.pool,
-                       .attempt = record.life.attempt(),
+                       .attempt = record.lifecycle.attempt(),
                        .target = choice->grant.target,
                        .considered = std::move(choice->considered),
                        .reason = is_retry ? routing_reason::kRetry
@@ -120,7 +120,7 @@
                        .over_share = over_share});
   out.emplace_back(start_attempt{
       .request = request,
-      .attempt = record.life.attempt(),
+      .attempt = record.lifecycle.attempt(),
       .target = choice->grant.target,
       .life = choice->grant.life,
       .address = choice->grant.address,
@@ -128,7 +128,7 @@
           is_retry || (!record.spec.repeatable && !options_.reuse_for_all)
               ? connection_choice::kNewOnly
               : connection_choice::kReuseAllowed,
-      .resumes = record.life.resuming(),
+      .resumes = record.lifecycle.resuming(),
       .copy_from = choice->copy_from});
   return true;
 }
@@ -138,14 +138,16 @@
     bool over_share,
     time_point now) {
   if (!record.spec.prompt) {
-    return directory_.Choose(record.spec.pool, record.tried, now);
+    return directory_.Choose(record.spec.pool, record.tried_targets, now);
   }
-  const duration patience =
-      record.spec.latency_objective.value_or(duration::zero()) / kPatiencePart;
+  const duration cached_target_wait =
+      record.spec.latency_objective.value_or(duration::zero()) /
+      kCachedTargetWaitDivisor;
   const targets::prompt_urgency urgency{
-      .agreed_only = !over_share && now - record.life.arrived() < patience,
+      .agreed_only =
+          !over_share && now - record.lifecycle.arrived() < cached_target_wait,
       .spare_only = over_share};
-  return directory_.ChooseForPrompt(record.spec.pool, record.tried,
+  return directory_.ChooseForPrompt(record.spec.pool, record.tried_targets,
                                     *record.spec.prompt, urgency, now);
 }
 
@@ -153,47 +155,49 @@
                                      time_point now,
                                      effects& out) {
   record* record = Find(request);
-  if (record == nullptr || !record->life.waiting() || !record->spec.prompt ||
+  if (record == nullptr || !record->lifecycle.waiting() ||
+      !record->spec.prompt ||
       !PoolOf(record->spec.pool).shares.IsOver(record->spec.customer, now)) {
     return;
   }
-  Apply(record->life.Refuse(refusal_reason::kOverShare), *record, now, out);
+  Apply(record->lifecycle.Refuse(refusal_reason::kOverShare), *record, now,
+        out);
   EraseIfDone(request);
 }
 
-void request_router::NoteUsability(pool_state& state,
-                                   const pool_id& pool,
-                                   time_point now) {
+void request_router::UpdateTargetAvailability(pool_state& state,
+                                              const pool_id& pool,
+                                              time_point now) {
   if (state.queue.size() == 0 || directory_.HasUsable(pool, now)) {
-    state.without_target_since.reset();
-  } else if (!state.without_target_since) {
-    state.without_target_since = now;
+    state.no_target_since.reset();
+  } else if (!state.no_target_since) {
+    state.no_target_since = now;
   }
 }
 
-void request_router::RefuseWithoutTarget(time_point now, effects& out) {
-  std::vector<pool_id> without_target;
+void request_router::RefuseForNoTarget(time_point now, effects& out) {
+  std::vector<pool_id> pools_without_target;
   for (const auto& [pool, state] : pools_) {
-    if (state.without_target_since &&
-        now >= *state.without_target_since + options_.no_target_wait) {
-      without_target.push_back(pool);
+    if (state.no_target_since &&
+        now >= *state.no_target_since + options_.no_target_wait) {
+      pools_without_target.push_back(pool);
     }
   }
-  if (without_target.empty()) {
+  if (pools_without_target.empty()) {
     return;
   }
   std::vector<request_seq> waiting;
   for (const auto& [id, record] : records_) {
-    if (record.life.waiting() &&
-        std::find(without_target.begin(), without_target.end(),
-                  record.spec.pool) != without_target.end()) {
+    if (record.lifecycle.waiting() &&
+        std::find(pools_without_target.begin(), pools_without_target.end(),
+                  record.spec.pool) != pools_without_target.end()) {
       waiting.push_back(id);
     }
   }
   std::sort(waiting.begin(), waiting.end());
   for (const request_seq id : waiting) {
     record& record = *Find(id);
-    Apply(record.life.Refuse(refusal_reason::kNoTarget), record, now, out);
+    Apply(record.lifecycle.Refuse(refusal_reason::kNoTarget), record, now, out);
     EraseIfDone(id);
   }
 }
--- a/src/routing/internal/request_lifecycle.cc
+++ b/src/routing/internal/request_lifecycle.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Would give the same answer at any target.
-bool IsPointlessToRetry(failure_kind kind) {
+// The failure does not depend on the target, so a retry cannot succeed.
+bool IsNonRetryable(failure_kind kind) {
   return kind == failure_kind::kAnswerTooLarge ||
          kind == failure_kind::kCallerLost;
 }
@@ -21,12 +21,12 @@
          failure.kind != failure_kind::kOtherTarget;
 }
 
-// A repeatable request is sent to another target when the first is silent for
-// this part of the time it has.
-constexpr int kRetryPart = 2;
-// A generation waits for room for this part of the time it has, or for its
-// objective if that is longer.
-constexpr int kWaitPart = 8;
+// A repeatable request is retried at another target when the first has not
+// responded within `time_limit / kAttemptTimeoutDivisor`.
+constexpr int kAttemptTimeoutDivisor = 2;
+// A generation stays queued for at most `time_limit / kQueueTimeoutDivisor`, or
+// for its latency objective if that is longer.
+constexpr int kQueueTimeoutDivisor = 8;
 
 }  // namespace
 
@@ -39,19 +39,21 @@
     return defaults;
   }
   const duration limit = *spec.time_limit;
-  const bool may_repeat = spec.repeatable && defaults.max_attempts > 1;
-  const duration silence = may_repeat ? limit / kRetryPart : limit;
+  const bool may_retry = spec.repeatable && defaults.max_attempts > 1;
+  const duration attempt_timeout =
+      may_retry ? limit / kAttemptTimeoutDivisor : limit;
   defaults.total_timeout = limit;
-  // A generation that waits past its objective makes others late, too.
+  // A generation that is queued beyond its objective delays others as well.
   defaults.queue_timeout =
       spec.prompt && spec.latency_objective
-          ? std::clamp<duration>(limit / kWaitPart, *spec.latency_objective,
-                                 limit)
+          ? std::clamp<duration>(limit / kQueueTimeoutDivisor,
+                                 *spec.latency_objective, limit)
           : limit;
-  defaults.first_token_timeout = silence;
-  defaults.whole_answer_timeout = silence;
-  defaults.service_answer_timeout = silence;
-  // Nobody else can go on with a stream that may run once.
+  defaults.first_token_timeout = attempt_timeout;
+  defaults.whole_answer_timeout = attempt_timeout;
+  defaults.service_answer_timeout = attempt_timeout;
+  // A stream that is not resumable cannot continue at another target, so
+  // cancelling it early has no benefit.
   if (!spec.resumable) {
     defaults.between_tokens_timeout = limit;
   }
@@ -105,10 +107,11 @@
     phase_ = phase::kDone;
     return step_none{};
   }
-  const bool retry = retry_allowed && WouldRetry(failure) && !IsOverTotal(now);
-  const refusal_reason reason = ReasonOf(failure);
+  const bool retry =
+      retry_allowed && WouldRetry(failure) && !TotalTimeoutExpired(now);
+  const refusal_reason reason = RefusalReasonOf(failure);
   may_have_run_ |= MayHaveRun(failure);
-  runs_ += MayHaveRun(failure) ? 1 : 0;
+  possible_runs_ += MayHaveRun(failure) ? 1 : 0;
   delivered_ |= failure.delivered;
   cancel_reason_.reset();
   if (retry) {
@@ -126,7 +129,7 @@
   if (failure.has_answer) {
     return End(outcome_target_failure{});
   }
-  return End(outcome_refused{.reason = reason, .run = Run()});
+  return End(outcome_refused{.reason = reason, .run = RunState()});
 }
 
 bool request_lifecycle::WouldRetry(const attempt_failed& failure) const {
@@ -134,8 +137,9 @@
   if (ended_ || cancel_is_final_ || (delivered && !resumable_)) {
     return false;
   }
-  const std::uint32_t runs = runs_ + (MayHaveRun(failure) ? 1 : 0);
-  if (IsPointlessToRetry(failure.kind) || runs >= options_.max_attempts ||
+  const std::uint32_t possible_runs =
+      possible_runs_ + (MayHaveRun(failure) ? 1 : 0);
+  if (IsNonRetryable(failure.kind) || possible_runs >= options_.max_attempts ||
       attempt_.value() >= options_.max_tries) {
     return false;
   }
@@ -155,10 +159,10 @@
     return step_none{};
   }
   if (waiting()) {
-    return Refuse(IsOverTotal(now) ? refusal_reason::kDeadline
-                                   : refusal_reason::kQueueTimeout);
+    return Refuse(TotalTimeoutExpired(now) ? refusal_reason::kDeadline
+                                           : refusal_reason::kQueueTimeout);
   }
-  cancel_is_final_ = IsOverTotal(now);
+  cancel_is_final_ = TotalTimeoutExpired(now);
   cancel_reason_ = cancel_is_final_ ? refusal_reason::kDeadline
                                     : refusal_reason::kTargetTimeout;
   phase_ = phase::kCancelling;
@@ -173,7 +177,7 @@
   if (delivered_) {
     return End(outcome_cut{.reason = reason});
   }
-  return End(outcome_refused{.reason = reason, .run = Run()});
+  return End(outcome_refused{.reason = reason, .run = RunState()});
 }
 
 lifecycle_step request_lifecycle::Abort(refusal_reason reason) {
@@ -200,7 +204,7 @@
   return step_end{.result = result};
 }
 
-refusal_reason request_lifecycle::ReasonOf(
+refusal_reason request_lifecycle::RefusalReasonOf(
     const attempt_failed& failure) const {
   if (failure.kind == failure_kind::kCancelled && cancel_reason_) {
     return *cancel_reason_;
@@ -208,11 +212,11 @@
   return refusal_reason::kTargetFailed;
 }
 
-run_state request_lifecycle::Run() const {
+run_state request_lifecycle::RunState() const {
   return may_have_run_ ? run_state::kUnknown : run_state::kNotRun;
 }
 
-bool request_lifecycle::IsOverTotal(time_point now) const {
+bool request_lifecycle::TotalTimeoutExpired(time_point now) const {
   return now >= arrived_ + options_.total_timeout;
 }
 
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -1,4 +1,5 @@
-// Events of requests and their outcomes. See the header.
+// Request events and outcomes. Dispatch is in request_dispatch.cc, accounting
+// in attempt_accounting.cc.
 #include "routing/request_router.h"
 
 #include <algorithm>
@@ -15,16 +16,17 @@
 
 constexpr std::chrono::seconds kMinRetryAfter{1};
 constexpr std::chrono::seconds kMaxRetryAfter{60};
-// Advice to callers whose request waited in vain or came beyond its customer's
-// share: callers that return are spread over this much time.
-constexpr std::chrono::milliseconds kLeastOverloadWait{300};
-constexpr std::uint32_t kOverloadWaitSpreadMs = 900;
-// Part of the most output that a request asks for which it usually gets.
-constexpr double kUsualOutputPart = 0.5;
-
-double ShareTokens(const targets::prompt& prompt) {
+// Retry-After of a generation that was refused without having run, for example
+// after a queue timeout or beyond its customer's share. The jitter spreads the
+// callers' retries over time.
+constexpr std::chrono::milliseconds kMinOverloadRetryAfter{300};
+constexpr std::uint32_t kOverloadRetryAfterJitterMs = 900;
+// Expected output length as a fraction of the requested maximum.
+constexpr double kExpectedOutputFraction = 0.5;
+
+double ShareCost(const targets::prompt& prompt) {
   return prompt.input_tokens * fairness::kUnitsPerPromptToken +
-         prompt.max_output_tokens * kUsualOutputPart *
+         prompt.max_output_tokens * kExpectedOutputFraction *
              fairness::kUnitsPerOutputToken;
 }
 
@@ -64,18 +66,18 @@
 void request_router::OnRequest(const request_spec& spec,
                                time_point now,
                                effects& out) {
-  RetriesOf(spec.pool, now).OnRequest(now);
+  RetryBudgetOf(spec.pool, now).OnRequest(now);
   auto [added, inserted] = records_.emplace(
       spec.id, record{.spec = spec,
-                      .life = request_lifecycle(
+                      .lifecycle = request_lifecycle(
                           spec, OptionsFor(spec, options_.lifecycle), now)});
   record& record = added->second;
   if (spec.prompt) {
-    record.share_tokens = ShareTokens(*spec.prompt);
-    PoolOf(spec.pool).shares.OnAsked(spec.customer, record.share_tokens, now);
+    record.share_cost = ShareCost(*spec.prompt);
+    PoolOf(spec.pool).shares.OnAsked(spec.customer, record.share_cost, now);
   }
   if (const auto limit = QueueLimitReached(spec)) {
-    Apply(record.life.Refuse(*limit), record, now, out);
+    Apply(record.lifecycle.Refuse(*limit), record, now, out);
     EraseIfDone(spec.id);
     return;
   }
@@ -89,23 +91,25 @@
                                time_point now,
                                effects& out) {
   record* record = Find(request);
-  if (record == nullptr || record->life.attempt() != attempt ||
-      !record->life.attempt_running()) {
+  if (record == nullptr || record->lifecycle.attempt() != attempt ||
+      !record->lifecycle.attempt_running()) {
     return;
   }
   const bool retry_allowed = ConsumeRetry(*record, event, now);
   Account(*record, event, now, out);
   if (const auto* failure = std::get_if<attempt_failed>(&event)) {
-    out.emplace_back(attempt_failure_report{.request = request,
-                                            .attempt = attempt,
-                                            .target = record->tried.back(),
-                                            .kind = failure->kind,
-                                            .step = failure->step,
-                                            .detail = failure->detail,
-                                            .will_retry = retry_allowed});
+    out.emplace_back(
+        attempt_failure_report{.request = request,
+                               .attempt = attempt,
+                               .target = record->tried_targets.back(),
+                               .kind = failure->kind,
+                               .step = failure->step,
+                               .detail = failure->detail,
+                               .will_retry = retry_allowed});
   }
   const bool slot_freed = !record->grant.has_value();
-  Apply(record->life.OnAttempt(event, retry_allowed, now), *record, now, out);
+  Apply(record->lifecycle.OnAttempt(event, retry_allowed, now), *record, now,
+        out);
   EraseIfDone(request);
   if (slot_freed) {
     DispatchAll(now, out);
@@ -116,10 +120,10 @@
                                   const attempt_event& event,
                                   time_point now) {
   const auto* failure = std::get_if<attempt_failed>(&event);
-  if (failure == nullptr || !record.life.WouldRetry(*failure)) {
+  if (failure == nullptr || !record.lifecycle.WouldRetry(*failure)) {
     return false;
   }
-  const bool allowed = RetriesOf(record.spec.pool, now).TryTake(now);
+  const bool allowed = RetryBudgetOf(record.spec.pool, now).TryConsume(now);
   ++(allowed ? totals_.retries : totals_.retries_denied);
   return allowed;
 }
@@ -131,7 +135,7 @@
   if (record == nullptr) {
     return;
   }
-  Apply(record->life.OnCallerLeft(), *record, now, out);
+  Apply(record->lifecycle.OnCallerLeft(), *record, now, out);
   EraseIfDone(request);
 }
 
@@ -146,7 +150,7 @@
   std::sort(running.begin(), running.end());
   for (const request_seq id : running) {
     record& record = *Find(id);
-    Apply(record.life.Abort(reason), record, now, out);
+    Apply(record.lifecycle.Abort(reason), record, now, out);
     EraseIfDone(id);
   }
 }
@@ -156,9 +160,9 @@
     const request_seq id = deadlines_.begin()->second;
     deadlines_.erase(deadlines_.begin());
     record& record = *Find(id);
-    record.armed_deadline = kNever;
-    Apply(record.life.OnDeadline(now), record, now, out);
-    Arm(id, record);
+    record.scheduled_deadline = kNever;
+    Apply(record.lifecycle.OnDeadline(now), record, now, out);
+    ScheduleDeadline(id, record);
     EraseIfDone(id);
   }
   if (directory_.next_deadline() <= now) {
@@ -167,7 +171,7 @@
     }
   }
   DispatchAll(now, out);
-  RefuseWithoutTarget(now, out);
+  RefuseForNoTarget(now, out);
 }
 
 time_point request_router::NextDeadline() const {
@@ -177,11 +181,10 @@
   }
   for (const auto& [pool, state] : pools_) {
     if (!options_.directory.leased) {
-      next = std::min(next, state.look_again_at);
+      next = std::min(next, state.next_dispatch_at);
     }
-    if (state.without_target_since && state.queue.size() > 0) {
-      next =
-          std::min(next, *state.without_target_since + options_.no_target_wait);
+    if (state.no_target_since && state.queue.size() > 0) {
+      next = std::min(next, *state.no_target_since + options_.no_target_wait);
     }
   }
   return next;
@@ -195,15 +198,16 @@
 }
 
 std::vector<std::pair<pool_id, std::vector<fairness::customer_service>>>
-request_router::CustomerView() const {
-  std::vector<std::pair<pool_id, std::vector<fairness::customer_service>>> view;
-  view.reserve(pools_.size());
+request_router::CustomerSnapshot() const {
+  std::vector<std::pair<pool_id, std::vector<fairness::customer_service>>>
+      snapshot;
+  snapshot.reserve(pools_.size());
   for (const auto& [pool, state] : pools_) {
-    view.emplace_back(pool, state.queue.Snapshot());
+    snapshot.emplace_back(pool, state.queue.Snapshot());
   }
-  std::sort(view.begin(), view.end(),
+  std::sort(snapshot.begin(), snapshot.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
-  return view;
+  return snapshot;
 }
 
 std::vector<request_router::customer_load> request_router::Load() const {
@@ -256,12 +260,12 @@
                                    time_point now,
                                    effects& out) {
   directory_.SetOthersLoad(others.targets);
-  double least_part = 1;
+  double min_own_part = 1;
   for (auto& [pool, state] : pools_) {
     state.shares.SetOthers(others.customers, now);
-    least_part = std::min(least_part, state.shares.OwnPart(now));
+    min_own_part = std::min(min_own_part, state.shares.OwnPart(now));
   }
-  directory_.SetOwnPart(least_part);
+  directory_.SetOwnPart(min_own_part);
   DispatchAll(now, out);
 }
 
@@ -284,13 +288,14 @@
   return pools_.try_emplace(pool, pool, options_.age_limit).first->second;
 }
 
-retry_budget& request_router::RetriesOf(const pool_id& pool, time_point now) {
-  return retries_.try_emplace(pool, options_.retries, now).first->second;
+retry_budget& request_router::RetryBudgetOf(const pool_id& pool,
+                                            time_point now) {
+  return retry_budgets_.try_emplace(pool, options_.retries, now).first->second;
 }
 
 void request_router::SetRetryOptions(const retry_budget_options& retries) {
   options_.retries = retries;
-  for (auto& [pool, budget] : retries_) {
+  for (auto& [pool, budget] : retry_budgets_) {
     budget.SetOptions(retries);
   }
 }
@@ -300,14 +305,15 @@
   return found == records_.end() ? nullptr : &found->second;
 }
 
-void request_router::Arm(request_seq request, record& record) {
-  const time_point deadline = record.life.deadline();
-  // A deadline that moved back is noticed when the earlier one fires.
-  if (deadline >= record.armed_deadline) {
+void request_router::ScheduleDeadline(request_seq request, record& record) {
+  const time_point deadline = record.lifecycle.deadline();
+  // If the deadline was postponed, the earlier entry fires first and the new
+  // deadline is scheduled then.
+  if (deadline >= record.scheduled_deadline) {
     return;
   }
-  deadlines_.erase({record.armed_deadline, request});
-  record.armed_deadline = deadline;
+  deadlines_.erase({record.scheduled_deadline, request});
+  record.scheduled_deadline = deadline;
   deadlines_.emplace(deadline, request);
 }
 
@@ -323,13 +329,13 @@
       ++totals_.waiting;
     } else if constexpr (std::is_same_v<step_type, step_cancel_attempt>) {
       out.emplace_back(
-          cancel_attempt{.request = id, .attempt = record.life.attempt()});
+          cancel_attempt{.request = id, .attempt = record.lifecycle.attempt()});
     } else if constexpr (std::is_same_v<step_type, step_end>) {
       Finish(record, value.result, now, out);
     }
   };
   std::visit(visitor, step);
-  Arm(id, record);
+  ScheduleDeadline(id, record);
 }
 
 void request_router::Finish(record& record,
@@ -340,9 +346,9 @@
   if (PoolOf(record.spec.pool).queue.Remove(record.spec.customer, id)) {
     --totals_.waiting;
   }
-  if (record.life.attempt_running()) {
+  if (record.lifecycle.attempt_running()) {
     out.emplace_back(
-        cancel_attempt{.request = id, .attempt = record.life.attempt()});
+        cancel_attempt{.request = id, .attempt = record.lifecycle.attempt()});
   }
   if (const auto* refused = std::get_if<outcome_refused>(&result)) {
     out.emplace_back(refuse_request{
@@ -356,15 +362,16 @@
         .refusal = MakeRefusal(record, cut->reason, run_state::kUnknown)});
   }
   CountOutcome(result);
-  out.emplace_back(request_ended{
-      .request = id,
-      .customer = record.spec.customer,
-      .pool = record.spec.pool,
-      .result = result,
-      .attempts = record.life.attempt(),
-      .total = now - record.life.arrived(),
-      .first_output = record.first_output,
-      .target = record.tried.empty() ? target_id() : record.tried.back()});
+  out.emplace_back(request_ended{.request = id,
+                                 .customer = record.spec.customer,
+                                 .pool = record.spec.pool,
+                                 .result = result,
+                                 .attempts = record.lifecycle.attempt(),
+                                 .total = now - record.lifecycle.arrived(),
+                                 .first_output = record.first_output,
+                                 .target = record.tried_targets.empty()
+                                               ? target_id()
+                                               : record.tried_targets.back()});
 }
 
 void request_router::CountOutcome(const outcome& result) {
@@ -380,11 +387,11 @@
 
 void request_router::EraseIfDone(request_seq request) {
   const auto found = records_.find(request);
-  if (found == records_.end() || !found->second.life.ended() ||
-      found->second.life.attempt_running()) {
+  if (found == records_.end() || !found->second.lifecycle.ended() ||
+      found->second.lifecycle.attempt_running()) {
     return;
   }
-  deadlines_.erase({found->second.armed_deadline, request});
+  deadlines_.erase({found->second.scheduled_deadline, request});
   records_.erase(found);
 }
 
@@ -407,8 +414,8 @@
     return std::nullopt;
   }
   if (record.spec.prompt && run == run_state::kNotRun) {
-    return kLeastOverloadWait +
-           std::chrono::milliseconds(random_.Below(kOverloadWaitSpreadMs));
+    return kMinOverloadRetryAfter + std::chrono::milliseconds(random_.Below(
+                                        kOverloadRetryAfterJitterMs));
   }
   switch (reason) {
     case refusal_reason::kOverShare:
@@ -416,7 +423,7 @@
     case refusal_reason::kQueueTimeout:
     case refusal_reason::kNoTarget: {
       const auto wait = std::chrono::seconds(static_cast<std::int64_t>(
-          std::ceil(PoolOf(record.spec.pool).usual_wait_s)));
+          std::ceil(PoolOf(record.spec.pool).average_wait_s)));
       return std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
     }
     case refusal_reason::kDraining:
--- a/src/routing/internal/retry_budget.cc
+++ b/src/routing/internal/retry_budget.cc
@@ -6,14 +6,14 @@
 namespace burdocklock::routing {
 
 retry_budget::retry_budget(retry_budget_options options, time_point now)
-    : options_(options), tokens_(options.burst), refilled_at_(now) {}
+    : options_(options), tokens_(options.burst), last_refill_(now) {}
 
 void retry_budget::OnRequest(time_point now) {
   Refill(now);
   Add(options_.ratio);
 }
 
-bool retry_budget::TryTake(time_point now) {
+bool retry_budget::TryConsume(time_point now) {
   Refill(now);
   if (tokens_ < 1.0) {
     return false;
@@ -28,8 +28,8 @@
 }
 
 void retry_budget::Refill(time_point now) {
-  Add(ToSeconds(now - refilled_at_) * options_.per_second);
-  refilled_at_ = now;
+  Add(ToSeconds(now - last_refill_) * options_.per_second);
+  last_refill_ = now;
 }
 
 void retry_budget::Add(double tokens) {
--- a/src/routing/request_router.h
+++ b/src/routing/request_router.h
@@ -1,5 +1,5 @@
-// The routing decisions of one daemon: which waiting request goes next, to
-// which target, and what happens when that fails.
+// Routing decisions of one daemon: the order in which waiting requests are
+// dispatched, the choice of target and the handling of failures.
 #pragma once
 
 #include <cstdint>
@@ -35,15 +35,15 @@
   targets::directory_options directory;
   std::uint32_t max_queued_per_customer = 64;
   std::uint32_t max_queued_total = 4096;
-  /// A request for a pool without any usable target waits this long for one.
+  /// How long requests of a pool wait for a target to become usable if none is.
   duration no_target_wait = std::chrono::seconds(6);
-  /// A customer not served for this time goes first once.
+  /// A customer not served for this time takes precedence for one request.
   duration age_limit = std::chrono::seconds(10);
-  /// Idle connections are used for work that may run once, too.
+  /// Idle connections are also used for requests that may run at most once.
   bool reuse_for_all = false;
 };
 
-/// What the router needs to know about a customer.
+/// Scheduling parameters of a customer.
 struct customer_terms {
   double share = 1.0;
   std::optional<std::uint32_t> max_queued;
@@ -60,26 +60,25 @@
   std::uint64_t retries_denied = 0;
 };
 
-/// Deterministic: given the same events at the same times and the same random
-/// numbers it produces the same effects. Owned by the control thread.
+/// Deterministic: the same events at the same times with the same random
+/// numbers produce the same effects. Owned by the control thread.
 class request_router {
  public:
   request_router(router_options options,
                  i_random& random,
                  i_routing_observer& observer);
 
-  /// Sets a customer's terms; requests of customers without terms have
-  /// share 1.
+  /// Sets a customer's parameters; customers without any have share 1.
   void SetCustomer(const customer_id& customer, const customer_terms& terms);
-  /// This router's load, for the others.
+  /// Load of this router, to be reported to the others.
   [[nodiscard]] admission::fleet_load OwnLoad(time_point now) const;
-  /// The load of all other routers.
+  /// Sets the combined load of all other routers.
   void SetOthersLoad(const admission::fleet_load& others,
                      time_point now,
                      effects& out);
-  /// Tokens a second that the pool is known to bear.
+  /// Sets the known throughput of the pool.
   void SetPoolThroughput(const pool_id& pool, double tokens_per_second);
-  /// Sets what may be spent on repeats in each pool.
+  /// Sets the retry budget of every pool.
   void SetRetryOptions(const retry_budget_options& retries);
   void SetDataCentreOut(const data_centre_id& data_centre,
                         bool out,
@@ -97,14 +96,14 @@
                  time_point now,
                  effects& out);
   void OnCallerLeft(request_seq request, time_point now, effects& out);
-  /// Ends all requests that still run.
+  /// Ends all requests, waiting or running.
   void AbortAll(refusals::refusal_reason reason, time_point now, effects& out);
   /// Call when `NextDeadline` has passed.
   void OnTick(time_point now, effects& out);
   [[nodiscard]] time_point NextDeadline() const;
 
-  /// Records a refusal that was decided before the request reached the router
-  /// and gives it its number.
+  /// Assigns an id to a refusal and counts it. Call for refusals that were
+  /// decided before the request reached the router.
   refusals::refusal RecordRefusal(refusals::refusal refusal);
 
   /// Demand and service of one customer in one pool.
@@ -115,21 +114,22 @@
     std::uint32_t waiting = 0;
     /// Service received through this router.
     fairness::service_units service = 0;
-    /// Running requests by the data centre of their target.
+    /// Number of running requests, by data centre of the target.
     std::map<data_centre_id, std::uint32_t> running;
   };
   [[nodiscard]] std::vector<customer_load> Load() const;
-  /// Takes leased slots of one data centre and dispatches.
+  /// Applies the slot leases of one data centre and dispatches waiting
+  /// requests.
   void ApplyLeases(const data_centre_id& data_centre,
                    const std::vector<targets::target_lease>& leases,
                    time_point valid_until,
                    time_point now,
                    effects& out);
-  /// Sets a customer's fleet-wide counter.
+  /// Sets a customer's fleet-wide virtual service.
   void SetVirtualService(const pool_id& pool,
                          const customer_id& customer,
                          double value);
-  /// Access to leases and evidence, for their reports.
+  /// Access to slot leases and target health, for reporting.
   [[nodiscard]] targets::target_directory& mutable_directory() {
     return directory_;
   }
@@ -138,25 +138,25 @@
   [[nodiscard]] const targets::target_directory& directory() const {
     return directory_;
   }
-  /// Service and waiting requests by pool.
+  /// Received service and queue lengths of the customers, by pool.
   [[nodiscard]] std::vector<
       std::pair<pool_id, std::vector<fairness::customer_service>>>
-  CustomerView() const;
+  CustomerSnapshot() const;
 
  private:
   struct record {
     request_spec spec;
-    request_lifecycle life;
+    request_lifecycle lifecycle;
     std::optional<targets::slot_grant> grant;
-    /// Targets of earlier attempts.
-    std::vector<target_id> tried;
-    /// Prompt cost charged for the running attempt.
-    fairness::service_units charged_prompt = 0;
-    /// Tokens by which customers' shares are reckoned; zero for plain calls.
-    double share_tokens = 0;
+    /// Targets of all attempts so far, in order.
+    std::vector<target_id> tried_targets;
+    /// Prompt cost that was charged for the current attempt.
+    fairness::service_units charged_prompt_cost = 0;
+    /// Cost counted against the customer's share; zero for service calls.
+    double share_cost = 0;
     std::uint32_t output_tokens = 0;
     std::optional<duration> first_output;
-    time_point armed_deadline = kNever;
+    time_point scheduled_deadline = kNever;
   };
   struct pool_state {
     explicit pool_state(const pool_id& pool, duration age_limit)
@@ -164,18 +164,18 @@
 
     fairness::fair_queue queue;
     admission::share_limiter shares;
-    /// Smoothed waiting time, for Retry-After.
-    double usual_wait_s = 0;
-    /// Since when requests wait while no target is usable.
-    std::optional<time_point> without_target_since;
-    /// When waiting requests are to be tried again.
-    time_point look_again_at = kNever;
+    /// Exponential average of the queue wait, for Retry-After.
+    double average_wait_s = 0;
+    /// When requests began to wait with no usable target.
+    std::optional<time_point> no_target_since;
+    /// When dispatch of the waiting requests must be retried.
+    time_point next_dispatch_at = kNever;
   };
 
   pool_state& PoolOf(const pool_id& pool);
-  retry_budget& RetriesOf(const pool_id& pool, time_point now);
+  retry_budget& RetryBudgetOf(const pool_id& pool, time_point now);
   record* Find(request_seq request);
-  void Arm(request_seq request, record& record);
+  void ScheduleDeadline(request_seq request, record& record);
   void Apply(const lifecycle_step& step,
              record& record,
              time_point now,
@@ -190,7 +190,7 @@
                     time_point now);
   void EraseIfDone(request_seq request);
 
-  // Dispatching (request_dispatch.cc).
+  // Dispatch (request_dispatch.cc).
   void Enqueue(record& record, time_point now, effects& out);
   void DispatchAll(time_point now, effects& out);
   void DispatchPool(pool_state& state,
@@ -204,26 +204,28 @@
   std::optional<targets::choice> ChooseTarget(const record& record,
                                               bool over_share,
                                               time_point now);
-  /// Refuses a waiting request of a customer that has had its share.
+  /// Refuses the request if it still waits and its customer is over its share.
   void RefuseOverShare(request_seq request, time_point now, effects& out);
-  void NoteUsability(pool_state& state, const pool_id& pool, time_point now);
-  void RefuseWithoutTarget(time_point now, effects& out);
+  void UpdateTargetAvailability(pool_state& state,
+                                const pool_id& pool,
+                                time_point now);
+  void RefuseForNoTarget(time_point now, effects& out);
   std::optional<refusals::refusal_reason> QueueLimitReached(
       const request_spec& spec);
 
-  // Accounting of an attempt's events (attempt_accounting.cc).
+  // Accounting of attempt events (attempt_accounting.cc).
   void Account(record& record,
                const attempt_event& event,
                time_point now,
                effects& out);
   void OnFirstOutput(record& record, time_point now, effects& out);
-  void OnAttemptGood(record& record,
-                     const attempt_completed& completed,
-                     effects& out);
-  void OnAttemptBad(record& record,
-                    const attempt_failed& failure,
-                    time_point now,
-                    effects& out);
+  void OnAttemptCompleted(record& record,
+                          const attempt_completed& completed,
+                          effects& out);
+  void OnAttemptFailed(record& record,
+                       const attempt_failed& failure,
+                       time_point now,
+                       effects& out);
   void ReportRamp(const target_id& target, const char* cause, effects& out);
 
   refusals::refusal MakeRefusal(const record& record,
@@ -238,8 +240,7 @@
   i_random& random_;
   i_routing_observer& observer_;
   targets::target_directory directory_;
-  /// One for each pool.
-  std::unordered_map<pool_id, retry_budget> retries_;
+  std::unordered_map<pool_id, retry_budget> retry_budgets_;
   std::unordered_map<pool_id, pool_state> pools_;
   std::unordered_map<customer_id, customer_terms> customers_;
   std::unordered_map<request_seq, record> records_;
--- a/src/routing/retry_budget.h
+++ b/src/routing/retry_budget.h
@@ -1,5 +1,5 @@
-// Limits retries to a share of the recent requests, so that a failing fleet is
-// not loaded further by its own repeats.
+// Token bucket that limits retries to a fraction of the recent requests, so
+// that retries do not amplify the load on a failing fleet.
 #pragma once
 
 #include "framework/types/time.h"
@@ -7,11 +7,11 @@
 namespace burdocklock::routing {
 
 struct retry_budget_options {
-  /// Retries earned by each new request.
+  /// Tokens added per new request.
   double ratio = 0.1;
-  /// Retries earned by each second.
+  /// Tokens added per second.
   double per_second = 2.0;
-  /// Most retries that can be saved up.
+  /// Capacity of the bucket.
   double burst = 50.0;
 };
 
@@ -22,7 +22,7 @@
   retry_budget(retry_budget_options options, time_point now);
 
   void OnRequest(time_point now);
-  [[nodiscard]] bool TryTake(time_point now);
+  [[nodiscard]] bool TryConsume(time_point now);
   void SetOptions(const retry_budget_options& options);
 
  private:
@@ -31,7 +31,7 @@
 
   retry_budget_options options_;
   double tokens_;
-  time_point refilled_at_;
+  time_point last_refill_;
 };
 
 }  // namespace burdocklock::routing
--- a/src/routing/tests/request_lifecycle_unittest.cc
+++ b/src/routing/tests/request_lifecycle_unittest.cc
@@ -1,4 +1,4 @@
-// Properties of the life of one request.
+// Tests of the state machine of one request.
 #include "routing/request_lifecycle.h"
 
 #include <rapidcheck/catch.h>
@@ -34,37 +34,37 @@
 };
 
 TEST_CASE_METHOD(lifecycle_fixture,
-                 "lifecycle: connect fails, work not repeatable: retried") {
-  auto life = Make(/*repeatable=*/false);
-  life.Dispatch(now);
-  const auto step =
-      life.OnAttempt(Failure(failure_kind::kConnectFailed, false), true, now);
+                 "lifecycle: connect fails, not repeatable: retried") {
+  auto lifecycle = Make(/*repeatable=*/false);
+  lifecycle.Dispatch(now);
+  const auto step = lifecycle.OnAttempt(
+      Failure(failure_kind::kConnectFailed, false), true, now);
   CHECK(std::holds_alternative<step_retry>(step));
-  CHECK(life.waiting());
+  CHECK(lifecycle.waiting());
 }
 
 TEST_CASE_METHOD(lifecycle_fixture,
-                 "lifecycle: broken after sending, work not repeatable: "
+                 "lifecycle: broken after sending, not repeatable: "
                  "refused as unknown") {
-  auto life = Make(/*repeatable=*/false);
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
+  auto lifecycle = Make(/*repeatable=*/false);
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
   const auto step =
-      life.OnAttempt(Failure(failure_kind::kBroken, true), true, now);
+      lifecycle.OnAttempt(Failure(failure_kind::kBroken, true), true, now);
   REQUIRE(Refused(step) != nullptr);
   CHECK(Refused(step)->run == refusals::run_state::kUnknown);
 }
 
 TEST_CASE_METHOD(lifecycle_fixture,
-                 "lifecycle: target refused admission, work not repeatable: "
+                 "lifecycle: target refused admission, not repeatable: "
                  "retried, then refused as not run") {
-  auto life = Make(/*repeatable=*/false);
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
-  CHECK(std::holds_alternative<step_retry>(
-      life.OnAttempt(Failure(failure_kind::kNotAdmitted, true), true, now)));
+  auto lifecycle = Make(/*repeatable=*/false);
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
+  CHECK(std::holds_alternative<step_retry>(lifecycle.OnAttempt(
+      Failure(failure_kind::kNotAdmitted, true), true, now)));
   now += options.queue_timeout;
-  const auto step = life.OnDeadline(now);
+  const auto step = lifecycle.OnDeadline(now);
   REQUIRE(Refused(step) != nullptr);
   CHECK(Refused(step)->reason == refusals::refusal_reason::kQueueTimeout);
   CHECK(Refused(step)->run == refusals::run_state::kNotRun);
@@ -72,35 +72,35 @@
 
 TEST_CASE_METHOD(lifecycle_fixture,
                  "lifecycle: no first token in time: cancelled, then retried") {
-  auto life = Make();
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
-  CHECK(life.deadline() == now + options.first_token_timeout);
-  now = life.deadline();
-  CHECK(std::holds_alternative<step_cancel_attempt>(life.OnDeadline(now)));
+  auto lifecycle = Make();
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
+  CHECK(lifecycle.deadline() == now + options.first_token_timeout);
+  now = lifecycle.deadline();
+  CHECK(std::holds_alternative<step_cancel_attempt>(lifecycle.OnDeadline(now)));
   CHECK(std::holds_alternative<step_retry>(
-      life.OnAttempt(Failure(failure_kind::kCancelled, true), true, now)));
+      lifecycle.OnAttempt(Failure(failure_kind::kCancelled, true), true, now)));
 }
 
 TEST_CASE_METHOD(lifecycle_fixture,
                  "lifecycle: progress on a stream: moves the deadline") {
-  auto life = Make();
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
-  life.OnAttempt(attempt_first_output{}, true, now);
+  auto lifecycle = Make();
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
+  lifecycle.OnAttempt(attempt_first_output{}, true, now);
   now += milliseconds(4000);
-  life.OnAttempt(attempt_progress{.tokens = 3}, true, now);
-  CHECK(life.deadline() == now + options.between_tokens_timeout);
+  lifecycle.OnAttempt(attempt_progress{.tokens = 3}, true, now);
+  CHECK(lifecycle.deadline() == now + options.between_tokens_timeout);
 }
 
 TEST_CASE_METHOD(lifecycle_fixture,
                  "lifecycle: broken after delivery: cut, never retried") {
-  auto life = Make();
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
-  life.OnAttempt(attempt_first_output{}, true, now);
-  const auto step =
-      life.OnAttempt(Failure(failure_kind::kBroken, true, true), true, now);
+  auto lifecycle = Make();
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
+  lifecycle.OnAttempt(attempt_first_output{}, true, now);
+  const auto step = lifecycle.OnAttempt(
+      Failure(failure_kind::kBroken, true, true), true, now);
   const auto* end = std::get_if<step_end>(&step);
   REQUIRE(end != nullptr);
   CHECK(std::holds_alternative<outcome_cut>(end->result));
@@ -108,62 +108,63 @@
 
 TEST_CASE_METHOD(lifecycle_fixture,
                  "lifecycle: total time exceeded: cancelled without retry") {
-  auto life = Make();
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
+  auto lifecycle = Make();
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
   now += options.total_timeout;
-  CHECK(std::holds_alternative<step_cancel_attempt>(life.OnDeadline(now)));
+  CHECK(std::holds_alternative<step_cancel_attempt>(lifecycle.OnDeadline(now)));
   const auto step =
-      life.OnAttempt(Failure(failure_kind::kCancelled, true), true, now);
+      lifecycle.OnAttempt(Failure(failure_kind::kCancelled, true), true, now);
   REQUIRE(Refused(step) != nullptr);
   CHECK(Refused(step)->reason == refusals::refusal_reason::kDeadline);
 }
 
-// Drives one life with random events and keeps what a target would have seen.
-class random_life {
+// Drives one lifecycle with random events and records what a target would have
+// observed.
+class random_lifecycle {
  public:
-  explicit random_life(bool repeatable)
+  explicit random_lifecycle(bool repeatable)
       : repeatable_(repeatable),
-        life_({.id = request_seq(1), .repeatable = repeatable},
-              {},
-              time_point(seconds(1000))) {}
+        lifecycle_({.id = request_seq(1), .repeatable = repeatable},
+                   {},
+                   time_point(seconds(1000))) {}
 
   void Step(int choice, bool retry_allowed, int advance_ms) {
     now_ += milliseconds(advance_ms);
-    if (life_.waiting()) {
+    if (lifecycle_.waiting()) {
       StepWaiting(choice);
-    } else if (life_.attempt_running()) {
+    } else if (lifecycle_.attempt_running()) {
       StepRunning(choice, retry_allowed);
     } else {
-      Apply(life_.OnDeadline(now_));
-      Apply(life_.OnCallerLeft());
+      Apply(lifecycle_.OnDeadline(now_));
+      Apply(lifecycle_.OnCallerLeft());
     }
   }
 
-  // Ends the life whatever its state, as a shutdown would.
+  // Ends the request in any state, as a shutdown does.
   void Finish() {
-    Apply(life_.Abort(refusals::refusal_reason::kDraining));
-    if (life_.attempt_running()) {
+    Apply(lifecycle_.Abort(refusals::refusal_reason::kDraining));
+    if (lifecycle_.attempt_running()) {
       Fail(failure_kind::kCancelled, false);
     }
   }
 
   void Check() const {
-    RC_ASSERT(ends_ == 1);
-    RC_ASSERT(life_.ended());
-    RC_ASSERT(!(said_not_run_ && may_have_run_));
-    RC_ASSERT(repeatable_ || runs_ <= 1);
+    RC_ASSERT(end_count_ == 1);
+    RC_ASSERT(lifecycle_.ended());
+    RC_ASSERT(!(reported_not_run_ && may_have_run_));
+    RC_ASSERT(repeatable_ || run_count_ <= 1);
     RC_ASSERT(!retried_after_delivery_);
   }
 
  private:
   void StepWaiting(int choice) {
     if (choice == 0) {
-      Apply(life_.OnCallerLeft());
+      Apply(lifecycle_.OnCallerLeft());
     } else if (choice == 1) {
-      Apply(life_.OnDeadline(now_));
-    } else if (!life_.ended()) {
-      life_.Dispatch(now_);
+      Apply(lifecycle_.OnDeadline(now_));
+    } else if (!lifecycle_.ended()) {
+      lifecycle_.Dispatch(now_);
       sent_ = false;
     }
   }
@@ -171,26 +172,26 @@
   void StepRunning(int choice, bool retry_allowed) {
     switch (choice) {
       case 0:
-        Apply(life_.OnCallerLeft());
+        Apply(lifecycle_.OnCallerLeft());
         return;
       case 1:
-        Apply(life_.OnDeadline(now_));
+        Apply(lifecycle_.OnDeadline(now_));
         return;
       case 2:
         sent_ = true;
-        Apply(life_.OnAttempt(attempt_sending{}, false, now_));
+        Apply(lifecycle_.OnAttempt(attempt_sending{}, false, now_));
         return;
       case 3:
         if (sent_) {
           delivered_ = true;
-          Apply(life_.OnAttempt(attempt_first_output{}, false, now_));
+          Apply(lifecycle_.OnAttempt(attempt_first_output{}, false, now_));
         }
         return;
       case 4:
         if (sent_) {
           may_have_run_ = true;
-          ++runs_;
-          Apply(life_.OnAttempt(attempt_completed{}, false, now_));
+          ++run_count_;
+          Apply(lifecycle_.OnAttempt(attempt_completed{}, false, now_));
         }
         return;
       case 5:
@@ -207,15 +208,15 @@
   }
 
   void Fail(failure_kind kind, bool retry_allowed) {
-    // A target that has begun to answer cannot claim that it did not run.
+    // A target that has started to respond cannot report that it did not run.
     if (delivered_ && kind == failure_kind::kNotAdmitted) {
       kind = failure_kind::kBroken;
     }
     if (sent_ && kind != failure_kind::kNotAdmitted) {
       may_have_run_ = true;
-      ++runs_;
+      ++run_count_;
     }
-    const lifecycle_step step = life_.OnAttempt(
+    const lifecycle_step step = lifecycle_.OnAttempt(
         attempt_failed{.kind = kind, .sent = sent_, .delivered = delivered_},
         retry_allowed, now_);
     retried_after_delivery_ |=
@@ -228,51 +229,52 @@
     if (end == nullptr) {
       return;
     }
-    ++ends_;
+    ++end_count_;
     if (const auto* refused = std::get_if<outcome_refused>(&end->result)) {
-      said_not_run_ = refused->run == refusals::run_state::kNotRun;
+      reported_not_run_ = refused->run == refusals::run_state::kNotRun;
     }
   }
 
   bool repeatable_;
-  request_lifecycle life_;
+  request_lifecycle lifecycle_;
   time_point now_{seconds(1000)};
   bool sent_ = false;
   bool delivered_ = false;
   bool may_have_run_ = false;
-  bool said_not_run_ = false;
+  bool reported_not_run_ = false;
   bool retried_after_delivery_ = false;
-  int ends_ = 0;
-  int runs_ = 0;
+  int end_count_ = 0;
+  int run_count_ = 0;
 };
 
-TEST_CASE("lifecycle: any interleaving of events: exactly one true outcome") {
+TEST_CASE(
+    "lifecycle: any interleaving of events: exactly one correct outcome") {
   rc::prop("one outcome; not_run only if nothing ran", [](bool repeatable) {
-    random_life life(repeatable);
+    random_lifecycle lifecycle(repeatable);
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange(0, 4000)));
     for (const auto& [choice, advance_ms] : steps) {
-      life.Step(choice, advance_ms % 3 != 0, advance_ms);
+      lifecycle.Step(choice, advance_ms % 3 != 0, advance_ms);
     }
-    life.Finish();
-    life.Check();
+    lifecycle.Finish();
+    lifecycle.Check();
   });
 }
 
 TEST_CASE_METHOD(lifecycle_fixture,
-                 "lifecycle: stream breaks midway, resumable: goes on at "
-                 "another target; not resumable: cut") {
+                 "lifecycle: stream breaks midway, resumable: continues "
+                 "at another target; not resumable: cut") {
   spec.resumable = GENERATE(true, false);
   options.max_attempts = 2;
-  auto life = Make();
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
-  life.OnAttempt(attempt_first_output{}, true, now);
-  const auto step =
-      life.OnAttempt(Failure(failure_kind::kBroken, true, true), true, now);
+  auto lifecycle = Make();
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
+  lifecycle.OnAttempt(attempt_first_output{}, true, now);
+  const auto step = lifecycle.OnAttempt(
+      Failure(failure_kind::kBroken, true, true), true, now);
   if (spec.resumable) {
     CHECK(std::holds_alternative<step_retry>(step));
-    CHECK(life.resuming());
+    CHECK(lifecycle.resuming());
   } else {
     const auto* end = std::get_if<step_end>(&step);
     REQUIRE(end != nullptr);
@@ -284,12 +286,12 @@
     lifecycle_fixture,
     "lifecycle: resumed stream finds no target: cut, not refused") {
   spec.resumable = true;
-  auto life = Make();
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
-  life.OnAttempt(Failure(failure_kind::kBroken, true, true), true, now);
-  REQUIRE(life.waiting());
-  const auto step = life.Refuse(refusals::refusal_reason::kNoTarget);
+  auto lifecycle = Make();
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
+  lifecycle.OnAttempt(Failure(failure_kind::kBroken, true, true), true, now);
+  REQUIRE(lifecycle.waiting());
+  const auto step = lifecycle.Refuse(refusals::refusal_reason::kNoTarget);
   const auto* end = std::get_if<step_end>(&step);
   REQUIRE(end != nullptr);
   CHECK(std::holds_alternative<outcome_cut>(end->result));
@@ -300,39 +302,39 @@
                  "those that may run") {
   options.max_attempts = 1;
   options.max_tries = 3;
-  auto life = Make(/*repeatable=*/false);
+  auto lifecycle = Make(/*repeatable=*/false);
   for (int i = 0; i < 2; ++i) {
-    life.Dispatch(now);
-    life.OnAttempt(attempt_sending{}, true, now);
-    const auto step =
-        life.OnAttempt(Failure(failure_kind::kOtherTarget, true), true, now);
+    lifecycle.Dispatch(now);
+    lifecycle.OnAttempt(attempt_sending{}, true, now);
+    const auto step = lifecycle.OnAttempt(
+        Failure(failure_kind::kOtherTarget, true), true, now);
     REQUIRE(std::holds_alternative<step_retry>(step));
   }
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
   const auto step =
-      life.OnAttempt(Failure(failure_kind::kNotAdmitted, true), true, now);
+      lifecycle.OnAttempt(Failure(failure_kind::kNotAdmitted, true), true, now);
   REQUIRE(Refused(step) != nullptr);
   CHECK(Refused(step)->run == refusals::run_state::kNotRun);
 }
 
 TEST_CASE_METHOD(lifecycle_fixture,
-                 "lifecycle: target's own failure at hand, no retry left: "
-                 "passed on") {
-  auto life = Make();
-  life.Dispatch(now);
-  life.OnAttempt(attempt_sending{}, true, now);
+                 "lifecycle: target returned an error, no retry left: error is "
+                 "forwarded") {
+  auto lifecycle = Make();
+  lifecycle.Dispatch(now);
+  lifecycle.OnAttempt(attempt_sending{}, true, now);
   attempt_failed failure = Failure(failure_kind::kTargetError, true);
   failure.has_answer = true;
-  const auto step = life.OnAttempt(failure, /*retry_allowed=*/false, now);
+  const auto step = lifecycle.OnAttempt(failure, /*retry_allowed=*/false, now);
   const auto* end = std::get_if<step_end>(&step);
   REQUIRE(end != nullptr);
   CHECK(std::holds_alternative<outcome_target_failure>(end->result));
 }
 
 TEST_CASE_METHOD(lifecycle_fixture,
-                 "options: request's own limits: bound the whole and, for "
-                 "repeatable work, one attempt's silence") {
+                 "options: request's own limits: bound the total time and, for "
+                 "repeatable requests, the time of one attempt") {
   spec.time_limit = milliseconds(800);
   spec.max_attempts = 2;
   CHECK(OptionsFor(spec, options).total_timeout == milliseconds(800));
--- a/src/routing/tests/request_router_unittest.cc
+++ b/src/routing/tests/request_router_unittest.cc
@@ -1,4 +1,4 @@
-// Properties of the router over random events, with a fake traffic side.
+// Tests of request_router, partly over random events, with simulated attempts.
 #include "routing/request_router.h"
 
 #include <algorithm>
@@ -17,12 +17,12 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct silent_observer : i_routing_observer {
+struct null_observer : i_routing_observer {
   void OnQueueWait(duration, time_point) override {}
   void OnFirstOutput(duration, time_point) override {}
 };
 
-// Owns a router and records its effects, as the traffic side would see them.
+// Owns a router and records its effects as the traffic threads would see them.
 struct router_fixture {
   struct running_attempt {
     attempt_number attempt;
@@ -33,13 +33,13 @@
   };
 
   seeded_random random{7};
-  silent_observer observer;
+  null_observer observer;
   time_point now{seconds(1000)};
   request_router router{Options(), random, observer};
   std::map<request_seq, running_attempt> running;
-  std::map<request_seq, int> ends;
-  std::map<request_seq, int> runs;
-  std::map<target_id, std::uint32_t> held;
+  std::map<request_seq, int> end_counts;
+  std::map<request_seq, int> run_counts;
+  std::map<target_id, std::uint32_t> held_slots;
   std::vector<refusals::refusal> refusals;
   std::uint64_t last_request = 0;
 
@@ -85,18 +85,18 @@
   void Report(request_seq request, const attempt_event& event) {
     running_attempt& attempt = running.at(request);
     const attempt_number number = attempt.attempt;
-    const bool over = std::holds_alternative<attempt_completed>(event) ||
-                      std::holds_alternative<attempt_failed>(event);
+    const bool ended_now = std::holds_alternative<attempt_completed>(event) ||
+                           std::holds_alternative<attempt_failed>(event);
     if (std::holds_alternative<attempt_sending>(event)) {
       attempt.sent = true;
     }
-    if (over) {
-      --held[attempt.target];
+    if (ended_now) {
+      --held_slots[attempt.target];
       const auto* failure = std::get_if<attempt_failed>(&event);
       const bool ran =
           attempt.sent &&
           (failure == nullptr || failure->kind != failure_kind::kNotAdmitted);
-      runs[request] += ran ? 1 : 0;
+      run_counts[request] += ran ? 1 : 0;
       running.erase(request);
     }
     effects out;
@@ -127,13 +127,13 @@
       if (const auto* start = std::get_if<start_attempt>(&effect)) {
         running[start->request] = {.attempt = start->attempt,
                                    .target = start->target};
-        ++held[start->target];
+        ++held_slots[start->target];
       } else if (const auto* cancel = std::get_if<cancel_attempt>(&effect)) {
         running.at(cancel->request).cancelled = true;
       } else if (const auto* refuse = std::get_if<refuse_request>(&effect)) {
         refusals.push_back(refuse->refusal);
       } else if (const auto* ended = std::get_if<request_ended>(&effect)) {
-        ++ends[ended->request];
+        ++end_counts[ended->request];
       }
     }
   }
@@ -163,7 +163,7 @@
 }
 
 TEST_CASE_METHOD(router_fixture,
-                 "router: new incarnation: back to cold slots") {
+                 "router: new incarnation: limited to cold slots again") {
   Announce(Target("t1"));
   for (int i = 0; i < 40; ++i) {
     Request("depot");
@@ -172,14 +172,14 @@
     Report(running.begin()->first, attempt_completed{});
   }
   REQUIRE(running.size() == 8);
-  // The old incarnation's requests died with it; only the new one's count.
+  // The old incarnation's requests ended with it, so only the new one's count.
   Announce(Target("t1", 2));
   CHECK(running.size() == 10);
   CHECK(router.directory().RampLimit(target_id("t1")) == 2U);
 }
 
 TEST_CASE_METHOD(router_fixture,
-                 "router: target leaving: gets no new work at once") {
+                 "router: target leaving: gets no new requests at once") {
   Announce(Target("t1"));
   auto leaving = Target("t1", 1, 2);
   leaving.state = targets::target_state::kLeaving;
@@ -189,7 +189,8 @@
   CHECK(running.empty());
 }
 
-TEST_CASE_METHOD(router_fixture, "router: target silent: gets no new work") {
+TEST_CASE_METHOD(router_fixture,
+                 "router: target silent: gets no new requests") {
   Announce(Target("t1"));
   Advance(seconds(6));
   Request("depot");
@@ -197,8 +198,8 @@
 }
 
 TEST_CASE_METHOD(router_fixture,
-                 "router: no target: refused as not run with a time to "
-                 "come back") {
+                 "router: no target: refused as not run with a retry "
+                 "time") {
   Request("depot");
   Advance(seconds(6));
   REQUIRE(refusals.size() == 1);
@@ -275,8 +276,8 @@
 }
 
 TEST_CASE_METHOD(router_fixture,
-                 "router: data centre out: no new work there, cold on "
-                 "return") {
+                 "router: data centre out: no new requests there, cold "
+                 "on return") {
   Announce(Target("t1"));
   effects out;
   router.SetDataCentreOut(data_centre_id("shah-alam"), true, now, out);
@@ -288,84 +289,84 @@
   CHECK(router.directory().RampLimit(target_id("t1")) == 2);
 }
 
-// One random step of the world around a router.
-void RandomStep(router_fixture& world, int choice, int detail) {
+// Applies one random event to the router.
+void RandomStep(router_fixture& fixture, int choice, int detail) {
   const auto pick = [&]() -> request_seq {
-    auto it = world.running.begin();
-    std::advance(it, detail % static_cast<int>(world.running.size()));
+    auto it = fixture.running.begin();
+    std::advance(it, detail % static_cast<int>(fixture.running.size()));
     return it->first;
   };
   const std::string target = "t" + std::to_string(detail % 3);
   if (choice <= 1) {
-    world.Request("c" + std::to_string(detail % 4), detail % 3 != 0);
+    fixture.Request("c" + std::to_string(detail % 4), detail % 3 != 0);
   } else if (choice == 2) {
-    world.Announce(router_fixture::Target(
+    fixture.Announce(router_fixture::Target(
         target, 1 + static_cast<std::uint64_t>(detail % 7 == 0),
         static_cast<std::uint64_t>(detail)));
   } else if (choice == 3) {
-    world.Advance(milliseconds(detail));
-  } else if (choice == 4 && world.last_request > 0) {
+    fixture.Advance(milliseconds(detail));
+  } else if (choice == 4 && fixture.last_request > 0) {
     effects out;
-    world.router.OnCallerLeft(
+    fixture.router.OnCallerLeft(
         request_seq(1 +
-                    static_cast<std::uint64_t>(detail) % world.last_request),
-        world.now, out);
-    world.Record(out);
-  } else if (!world.running.empty()) {
+                    static_cast<std::uint64_t>(detail) % fixture.last_request),
+        fixture.now, out);
+    fixture.Record(out);
+  } else if (!fixture.running.empty()) {
     const request_seq id = pick();
-    router_fixture::running_attempt& attempt = world.running.at(id);
+    router_fixture::running_attempt& attempt = fixture.running.at(id);
     if (!attempt.sent && choice != 9) {
-      world.Report(id, attempt_sending{});
+      fixture.Report(id, attempt_sending{});
     } else if (choice == 5) {
-      world.Report(id, attempt_completed{});
+      fixture.Report(id, attempt_completed{});
     } else if (choice == 6) {
       attempt.delivered = true;
-      world.Report(id, attempt_first_output{});
+      fixture.Report(id, attempt_first_output{});
     } else if (choice == 7 && !attempt.delivered) {
-      world.Fail(id, failure_kind::kNotAdmitted);
+      fixture.Fail(id, failure_kind::kNotAdmitted);
     } else {
-      world.Fail(id, attempt.sent ? failure_kind::kBroken
-                                  : failure_kind::kConnectFailed);
+      fixture.Fail(id, attempt.sent ? failure_kind::kBroken
+                                    : failure_kind::kConnectFailed);
     }
   }
 }
 
-void CheckWorld(const router_fixture& world) {
-  for (const auto& [id, count] : world.ends) {
+void CheckInvariants(const router_fixture& fixture) {
+  for (const auto& [id, count] : fixture.end_counts) {
     RC_ASSERT(count == 1);
   }
   std::uint64_t expected = 0;
-  for (const auto& refusal : world.refusals) {
+  for (const auto& refusal : fixture.refusals) {
     RC_ASSERT(refusal.id.value() > expected);
     expected = refusal.id.value();
     if (refusal.run == run_state::kNotRun) {
-      const auto ran = world.runs.find(*refusal.request);
-      RC_ASSERT((ran == world.runs.end() ? 0 : ran->second) == 0);
+      const auto ran = fixture.run_counts.find(*refusal.request);
+      RC_ASSERT((ran == fixture.run_counts.end() ? 0 : ran->second) == 0);
     }
   }
 }
 
-TEST_CASE("router: any order of events: outcomes are single and true") {
+TEST_CASE("router: any order of events: one correct outcome per request") {
   rc::prop("router invariants", [] {
-    router_fixture world;
+    router_fixture fixture;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 10), rc::gen::inRange(1, 3000)));
     for (const auto& [choice, detail] : steps) {
-      RandomStep(world, choice, detail);
-      for (const auto& [target, held] : world.held) {
-        RC_ASSERT(held <= 16);  // Two incarnations of 8 slots at most.
+      RandomStep(fixture, choice, detail);
+      for (const auto& [target, held_slots] : fixture.held_slots) {
+        RC_ASSERT(held_slots <= 16);  // Two incarnations of 8 slots at most.
       }
     }
     effects out;
-    world.router.AbortAll(refusal_reason::kDraining, world.now, out);
-    world.Record(out);
-    while (!world.running.empty()) {
-      world.Fail(world.running.begin()->first, failure_kind::kCancelled);
+    fixture.router.AbortAll(refusal_reason::kDraining, fixture.now, out);
+    fixture.Record(out);
+    while (!fixture.running.empty()) {
+      fixture.Fail(fixture.running.begin()->first, failure_kind::kCancelled);
     }
-    RC_ASSERT(world.ends.size() == world.last_request);
-    RC_ASSERT(world.router.totals().waiting == 0);
-    RC_ASSERT(world.router.totals().in_flight == 0);
-    CheckWorld(world);
+    RC_ASSERT(fixture.end_counts.size() == fixture.last_request);
+    RC_ASSERT(fixture.router.totals().waiting == 0);
+    RC_ASSERT(fixture.router.totals().in_flight == 0);
+    CheckInvariants(fixture);
   });
 }
 
@@ -379,8 +380,8 @@
       RandomStep(first, choice, detail);
       RandomStep(second, choice, detail);
     }
-    RC_ASSERT(first.ends == second.ends);
-    RC_ASSERT(first.held == second.held);
+    RC_ASSERT(first.end_counts == second.end_counts);
+    RC_ASSERT(first.held_slots == second.held_slots);
   });
 }
 
--- a/src/routing/types/attempt.h
+++ b/src/routing/types/attempt.h
@@ -1,4 +1,4 @@
-// Events of one dispatch attempt, reported by the traffic side.
+// Events of one dispatch attempt, reported by the traffic threads.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 enum class failure_kind {
   kConnectFailed,
-  /// The connection broke or ended before the answer was whole.
+  /// The connection was closed or reset before the response was complete.
   kBroken,
-  /// The target said, by its own word, that it did not admit the request.
+  /// The target reported that it rejected the request without executing it.
   kNotAdmitted,
-  /// The target answered with a failure of its own (5xx).
+  /// The target returned a 5xx response.
   kTargetError,
-  /// Another target, or another life of this one, has the address.
+  /// The address now belongs to another target or another incarnation.
   kOtherTarget,
-  /// The answer named another request or could not be understood.
+  /// The response identified another request or could not be parsed.
   kWrongAnswer,
   kAnswerTooLarge,
   /// The caller stopped reading or its connection broke.
   kCallerLost,
-  /// The router asked for the attempt to end.
+  /// The router cancelled the attempt.
   kCancelled,
 };
 
@@ -53,7 +53,7 @@
   return "cancelled";
 }
 
-/// Token counts as reported by the target at the end of an answer.
+/// Token counts that the target reports at the end of a response.
 struct usage {
   std::uint32_t prompt_tokens = 0;
   std::uint32_t output_tokens = 0;
@@ -62,30 +62,30 @@
 /// The first byte of the request is about to be written to the target.
 struct attempt_sending {};
 
-/// The first piece of the answer has arrived.
+/// The first part of the response has arrived.
 struct attempt_first_output {};
 
-/// More output arrived since the last report, or the caller is slow to take
-/// it (`tokens` may be zero then).
+/// Output arrived since the last report, or the caller is reading slowly, in
+/// which case `tokens` may be zero.
 struct attempt_progress {
   std::uint32_t tokens = 0;
 };
 
-/// The whole answer was delivered to the caller.
+/// The complete response was delivered to the caller.
 struct attempt_completed {
   std::optional<usage> reported;
 };
 
 struct attempt_failed {
   failure_kind kind = failure_kind::kBroken;
-  /// Some byte of the request may have reached the target.
+  /// At least one byte of the request may have reached the target.
   bool sent = false;
-  /// Some byte of the answer was passed on to the caller.
+  /// At least one byte of the response was forwarded to the caller.
   bool delivered = false;
-  /// Where it failed, such as "read answer".
+  /// Operation that failed, such as "read answer".
   std::string step;
   std::string detail;
-  /// The target's failure is at hand and can be passed on.
+  /// The target's error response was received and can be forwarded.
   bool has_answer = false;
 };
 
--- a/src/routing/types/effect.h
+++ b/src/routing/types/effect.h
@@ -1,4 +1,4 @@
-// What the request router asks its owner to do.
+// Actions that the request router requests from its owner.
 #pragma once
 
 #include <chrono>
@@ -19,12 +19,12 @@
 
 enum class connection_choice {
   kReuseAllowed,
-  /// Set for retries and for work that may run at most once: an idle
-  /// connection may have gone silent unnoticed.
+  /// For retries and for requests that may run at most once, since an idle
+  /// connection may be dead without having been closed.
   kNewOnly,
 };
 
-/// Send the request to a target.
+/// Sends the request to a target.
 struct start_attempt {
   request_seq request;
   attempt_number attempt;
@@ -32,37 +32,37 @@
   incarnation life;
   endpoint address;
   connection_choice connection = connection_choice::kReuseAllowed;
-  /// The attempt goes on with a stream that broke at another target.
+  /// The attempt resumes a stream that was interrupted at another target.
   bool resumes = false;
   /// Another target from which this one can copy part of the prompt.
   std::optional<endpoint> copy_from;
 };
 
-/// End a running attempt and report `attempt_failed`.
+/// Cancels a running attempt, which must then report `attempt_failed`.
 struct cancel_attempt {
   request_seq request;
   attempt_number attempt;
 };
 
-/// Answer the caller with a problem document.
+/// Responds to the caller with a problem document.
 struct refuse_request {
   refusals::refusal refusal;
 };
 
-/// Pass the target's own failure on to the caller.
+/// Forwards the target's error response to the caller.
 struct pass_on_failure {
   request_seq request;
 };
 
-/// Tell the caller, within its stream, that the answer is incomplete. The
-/// refusal record accounts for it.
+/// Ends a partly delivered response with an error event in the stream. The
+/// refusal records the reason.
 struct cut_answer {
   refusals::refusal refusal;
 };
 
 enum class routing_reason { kFirstChoice, kRetry };
 
-/// One decision, for the log.
+/// Log record of a dispatch decision.
 struct routing_decision {
   request_seq request;
   customer_id customer;
@@ -72,18 +72,18 @@
   std::vector<target_id> considered;
   routing_reason reason = routing_reason::kFirstChoice;
   duration waited{};
-  /// Of a generation: prompt tokens that the target probably has to read for
-  /// it, and those of others before it.
+  /// For generations: prompt tokens that the target is expected to compute for
+  /// this request, and for the requests ahead of it.
   std::uint32_t unread_tokens = 0;
   std::uint64_t tokens_before = 0;
-  /// Prompt tokens that it can copy from another target, and from where.
+  /// Prompt tokens that the target can copy from another one, and its address.
   std::uint32_t copied_tokens = 0;
   std::optional<endpoint> copy_from;
-  /// The customer has had its share; there was room to spare.
+  /// The customer exceeded its share, but the target had spare capacity.
   bool over_share = false;
 };
 
-/// An attempt that ended badly, for the log.
+/// Log record of a failed attempt.
 struct attempt_failure_report {
   request_seq request;
   attempt_number attempt;
@@ -94,7 +94,7 @@
   bool will_retry = false;
 };
 
-/// The request is over.
+/// The request has ended.
 struct request_ended {
   request_seq request;
   customer_id customer;
@@ -102,9 +102,9 @@
   outcome result;
   attempt_number attempts;
   duration total{};
-  /// From arrival to the first output, if there was any.
+  /// Time from arrival to the first output, if there was any.
   std::optional<duration> first_output;
-  /// Of the last attempt; empty if there was none.
+  /// Target of the last attempt; empty if there was none.
   target_id target;
 };
 
@@ -115,16 +115,16 @@
   std::string cause;
 };
 
-/// This router may use another number of a target's slots.
+/// The number of a target's slots that this router may use has changed.
 struct lease_changed {
   target_id target;
   std::uint32_t previous = 0;
   std::uint32_t limit = 0;
-  /// The coordinator that decided it.
+  /// Coordinator that granted the lease.
   daemon_id lessor;
 };
 
-/// This daemon has begun or ceased to coordinate a data centre's targets.
+/// This daemon started or stopped coordinating the targets of a data centre.
 struct coordinator_changed {
   data_centre_id data_centre;
   bool coordinates = false;
--- a/src/routing/types/outcome.h
+++ b/src/routing/types/outcome.h
@@ -1,4 +1,4 @@
-// The ways a request can end.
+// Possible outcomes of a request.
 #pragma once
 
 #include <variant>
@@ -8,24 +8,25 @@
 
 namespace burdocklock::routing {
 
-/// The caller got the whole answer.
+/// The caller received the complete response.
 struct outcome_completed {};
 
-/// The caller got a problem document and nothing of an answer.
+/// The caller received a problem document and no part of a response.
 struct outcome_refused {
   refusals::refusal_reason reason = refusals::refusal_reason::kTargetFailed;
   refusals::run_state run = refusals::run_state::kUnknown;
 };
 
-/// The caller got the target's own failure.
+/// The caller received the target's error response.
 struct outcome_target_failure {};
 
-/// The answer ended before it was whole; the caller was told so in the stream.
+/// The response was cut off after part of it was delivered; an error event in
+/// the stream says so.
 struct outcome_cut {
   refusals::refusal_reason reason = refusals::refusal_reason::kTargetFailed;
 };
 
-/// The caller went away first.
+/// The caller disconnected before the request ended.
 struct outcome_caller_left {};
 
 using outcome = std::variant<outcome_completed,
@@ -34,7 +35,7 @@
                              outcome_cut,
                              outcome_caller_left>;
 
-/// Name of an outcome as logs and metrics show it.
+/// Name of the outcome in logs and metrics.
 inline const char* OutcomeName(const outcome& outcome) {
   struct namer {
     const char* operator()(const outcome_completed&) { return "completed"; }
--- a/src/routing/types/request.h
+++ b/src/routing/types/request.h
@@ -1,4 +1,4 @@
-// A request as the routing decisions see it.
+// Properties of a request that routing decisions depend on.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +12,31 @@
 namespace burdocklock::routing {
 
 enum class call_kind {
-  /// Tokens arrive one by one.
+  /// Tokens are streamed as they are generated.
   kStreamedGeneration,
-  /// The answer arrives in one piece when the last token is known.
+  /// The response is sent as a whole after the last token.
   kWholeGeneration,
   kServiceCall,
 };
 
 struct request_spec {
   request_seq id;
-  /// The caller's own name of the request; empty if it gave none.
+  /// Request id assigned by the caller; empty if there is none.
   std::string caller_name;
   customer_id customer;
   pool_id pool;
   call_kind kind = call_kind::kStreamedGeneration;
-  /// False for work that may run at most once.
+  /// False if the request may run at most once.
   bool repeatable = true;
-  /// Rough size of the prompt; corrected when the target reports usage.
+  /// Estimated prompt length; corrected when the target reports usage.
   std::uint32_t prompt_tokens = 0;
-  /// From arrival to the final answer; the daemon's limit if absent.
+  /// Limit on the time from arrival to the end; the daemon's limit if absent.
   std::optional<duration> time_limit;
-  /// Within this time the answer, or the first event of a stream, is on time.
+  /// Latency target for the response, or for the first event of a stream.
   std::optional<duration> latency_objective;
-  /// Targets on which it may run; the daemon's limit if absent.
+  /// Number of targets on which it may run; the daemon's limit if absent.
   std::optional<std::uint32_t> max_attempts;
-  /// A broken stream may go on at another target.
+  /// An interrupted stream may be resumed at another target.
   bool resumable = false;
   std::optional<targets::prompt> prompt;
 };
