--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -41,7 +41,7 @@
       directory_(options_.directory, random) {}
 
 void request_router::SetCustomer(const customer_id& customer,
-                                 const customer_terms& terms) {
+                                 const customer_options& terms) {
   customers_[customer] = terms;
 }
 
--- a/src/routing/request_router.h
+++ b/src/routing/request_router.h
@@ -44,7 +44,7 @@
 };
 
 /// Scheduling parameters of a customer.
-struct customer_terms {
+struct customer_options {
   double share = 1.0;
   std::optional<std::uint32_t> max_queued;
 };
@@ -69,7 +69,7 @@
                  i_routing_observer& observer);
 
   /// Sets a customer's parameters; customers without any have share 1.
-  void SetCustomer(const customer_id& customer, const customer_terms& terms);
+  void SetCustomer(const customer_id& customer, const customer_options& terms);
   /// Load of this router, to be reported to the others.
   [[nodiscard]] admission::fleet_load OwnLoad(time_point now) const;
   /// Sets the combined load of all other routers.
@@ -242,7 +242,7 @@
   targets::target_directory directory_;
   std::unordered_map<pool_id, retry_budget> retry_budgets_;
   std::unordered_map<pool_id, pool_state> pools_;
-  std::unordered_map<customer_id, customer_terms> customers_;
+  std::unordered_map<customer_id, customer_options> customers_;
   std::unordered_map<request_seq, record> records_;
   std::set<std::pair<time_point, request_seq>> deadlines_;
   refusal_seq last_refusal_{0};
