--- a/src/app/internal/control_effects.cc
+++ b/src/app/internal/control_effects.cc
@@ -43,7 +43,8 @@
   DeliverTo(*effect.refusal.request, effect);
 }
 
-void control_loop::Perform(const routing::pass_on_failure& effect, time_point) {
+void control_loop::Perform(const routing::forward_error_response& effect,
+                           time_point) {
   DeliverTo(effect.request, effect);
 }
 
--- a/src/gateway/i_control.h
+++ b/src/gateway/i_control.h
@@ -25,7 +25,7 @@
 using exchange_order = std::variant<routing::start_attempt,
                                     routing::cancel_attempt,
                                     routing::refuse_request,
-                                    routing::pass_on_failure,
+                                    routing::forward_error_response,
                                     routing::cut_answer>;
 
 /// The traffic side of one request. Each `start_attempt` is answered by
--- a/src/gateway/internal/caller_exchange.cc
+++ b/src/gateway/internal/caller_exchange.cc
@@ -114,7 +114,7 @@
   finished_ = true;
 }
 
-void caller_exchange::Execute(const routing::pass_on_failure&) {
+void caller_exchange::Execute(const routing::forward_error_response&) {
   if (!caller_lost_) {
     writer_.WriteWhole(kept_.head, std::move(kept_.body));
   }
--- a/src/gateway/internal/caller_exchange.h
+++ b/src/gateway/internal/caller_exchange.h
@@ -39,7 +39,7 @@
   void Execute(const routing::start_attempt& order);
   void Execute(const routing::cancel_attempt& order);
   void Execute(const routing::refuse_request& order);
-  void Execute(const routing::pass_on_failure& order);
+  void Execute(const routing::forward_error_response& order);
   void Execute(const routing::cut_answer& order);
   void AnswerUnstarted(const routing::start_attempt& order,
                        routing::failure_kind kind);
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -355,7 +355,7 @@
         .refusal = MakeRefusal(record, refused->reason, refused->run)});
   }
   if (std::holds_alternative<outcome_target_failure>(result)) {
-    out.emplace_back(pass_on_failure{.request = id});
+    out.emplace_back(forward_error_response{.request = id});
   }
   if (const auto* cut = std::get_if<outcome_cut>(&result)) {
     out.emplace_back(cut_answer{
--- a/src/routing/types/effect.h
+++ b/src/routing/types/effect.h
@@ -50,7 +50,7 @@
 };
 
 /// Forwards the target's error response to the caller.
-struct pass_on_failure {
+struct forward_error_response {
   request_seq request;
 };
 
@@ -133,7 +133,7 @@
 using effect = std::variant<start_attempt,
                             cancel_attempt,
                             refuse_request,
-                            pass_on_failure,
+                            forward_error_response,
                             cut_answer,
                             routing_decision,
                             attempt_failure_report,
