--- a/src/app/control_loop.h
+++ b/src/app/control_loop.h
@@ -113,7 +113,7 @@
   void Perform(const routing::cancel_attempt& effect, time_point now);
   void Perform(const routing::refuse_request& effect, time_point now);
   void Perform(const routing::forward_error_response& effect, time_point now);
-  void Perform(const routing::cut_answer& effect, time_point now);
+  void Perform(const routing::truncate_response& effect, time_point now);
   void Perform(const routing::routing_decision& effect, time_point now);
   void Perform(const routing::attempt_failure_report& effect, time_point now);
   void Perform(const routing::request_ended& effect, time_point now);
--- a/src/app/internal/control_effects.cc
+++ b/src/app/internal/control_effects.cc
@@ -48,7 +48,8 @@
   DeliverTo(effect.request, effect);
 }
 
-void control_loop::Perform(const routing::cut_answer& effect, time_point) {
+void control_loop::Perform(const routing::truncate_response& effect,
+                           time_point) {
   LogRefusal(effect.refusal);
   DeliverTo(*effect.refusal.request, effect);
 }
--- a/src/gateway/i_control.h
+++ b/src/gateway/i_control.h
@@ -26,7 +26,7 @@
                                     routing::cancel_attempt,
                                     routing::refuse_request,
                                     routing::forward_error_response,
-                                    routing::cut_answer>;
+                                    routing::truncate_response>;
 
 /// The traffic side of one request. Each `start_attempt` is answered by
 /// exactly one `attempt_completed` or `attempt_failed`.
--- a/src/gateway/internal/caller_exchange.cc
+++ b/src/gateway/internal/caller_exchange.cc
@@ -121,7 +121,7 @@
   finished_ = true;
 }
 
-void caller_exchange::Execute(const routing::cut_answer& order) {
+void caller_exchange::Execute(const routing::truncate_response& order) {
   if (!caller_lost_) {
     writer_.WriteCut(order.refusal,
                      context_.control.RefusalName(order.refusal.id));
--- a/src/gateway/internal/caller_exchange.h
+++ b/src/gateway/internal/caller_exchange.h
@@ -40,7 +40,7 @@
   void Execute(const routing::cancel_attempt& order);
   void Execute(const routing::refuse_request& order);
   void Execute(const routing::forward_error_response& order);
-  void Execute(const routing::cut_answer& order);
+  void Execute(const routing::truncate_response& order);
   void AnswerUnstarted(const routing::start_attempt& order,
                        routing::failure_kind kind);
   void WatchCaller();
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -358,7 +358,7 @@
     out.emplace_back(forward_error_response{.request = id});
   }
   if (const auto* cut = std::get_if<outcome_cut>(&result)) {
-    out.emplace_back(cut_answer{
+    out.emplace_back(truncate_response{
         .refusal = MakeRefusal(record, cut->reason, run_state::kUnknown)});
   }
   CountOutcome(result);
--- a/src/routing/types/effect.h
+++ b/src/routing/types/effect.h
@@ -56,7 +56,7 @@
 
 /// Ends a partly delivered response with an error event in the stream. The
 /// refusal records the reason.
-struct cut_answer {
+struct truncate_response {
   refusals::refusal refusal;
 };
 
@@ -134,7 +134,7 @@
                             cancel_attempt,
                             refuse_request,
                             forward_error_response,
-                            cut_answer,
+                            truncate_response,
                             routing_decision,
                             attempt_failure_report,
                             request_ended,
