--- a/src/app/internal/control_effects.cc
+++ b/src/app/internal/control_effects.cc
@@ -43,11 +43,13 @@
   DeliverTo(*effect.refusal.request, effect);
 }
 
-void control_loop::Perform(const routing::pass_on_failure& effect, time_point) {
+void control_loop::Perform(const routing::forward_error_response& effect,
+                           time_point) {
   DeliverTo(effect.request, effect);
 }
 
-void control_loop::Perform(const routing::cut_answer& effect, time_point) {
+void control_loop::Perform(const routing::truncate_response& effect,
+                           time_point) {
   LogRefusal(effect.refusal);
   DeliverTo(*effect.refusal.request, effect);
 }
--- a/src/gateway/i_control.h
+++ b/src/gateway/i_control.h
@@ -25,8 +25,8 @@
 using exchange_order = std::variant<routing::start_attempt,
                                     routing::cancel_attempt,
                                     routing::refuse_request,
-                                    routing::pass_on_failure,
-                                    routing::cut_answer>;
+                                    routing::forward_error_response,
+                                    routing::truncate_response>;
 
 /// The traffic side of one request. Each `start_attempt` is answered by
 /// exactly one `attempt_completed` or `attempt_failed`.
--- a/src/gateway/internal/caller_exchange.cc
+++ b/src/gateway/internal/caller_exchange.cc
@@ -114,14 +114,14 @@
   finished_ = true;
 }
 
-void caller_exchange::Execute(const routing::pass_on_failure&) {
+void caller_exchange::Execute(const routing::forward_error_response&) {
   if (!caller_lost_) {
     writer_.WriteWhole(kept_.head, std::move(kept_.body));
   }
   finished_ = true;
 }
 
-void caller_exchange::Execute(const routing::cut_answer& order) {
+void caller_exchange::Execute(const routing::truncate_response& order) {
   if (!caller_lost_) {
     writer_.WriteCut(order.refusal,
                      context_.control.RefusalName(order.refusal.id));
