--- a/src/quorum/internal/election.cc
+++ b/src/quorum/internal/election.cc
@@ -5,18 +5,19 @@
 
 namespace burdocklock::quorum {
 
-void raft_node::ArmElection(time_point now) {
-  const auto spread = std::chrono::duration_cast<std::chrono::milliseconds>(
-                          options_.max_election - options_.min_election)
-                          .count();
-  election_at_ = now + options_.min_election +
-                 std::chrono::milliseconds(
-                     random_.Below(static_cast<std::uint32_t>(spread) + 1));
+void raft_node::ResetElectionTimer(time_point now) {
+  const auto jitter_range_ms =
+      std::chrono::duration_cast<std::chrono::milliseconds>(
+          options_.max_election_timeout - options_.min_election_timeout)
+          .count();
+  election_deadline_ = now + options_.min_election_timeout +
+                       std::chrono::milliseconds(random_.Below(
+                           static_cast<std::uint32_t>(jitter_range_ms) + 1));
 }
 
-bool raft_node::HeardLeaderLately(time_point now) const {
+bool raft_node::HasRecentLeaderContact(time_point now) const {
   return !leader_.value().empty() &&
-         now - leader_heard_ < options_.min_election;
+         now - last_leader_contact_ < options_.min_election_timeout;
 }
 
 bool raft_node::IsUpToDate(const vote_request& request) const {
@@ -26,20 +27,20 @@
   return request.last_index >= log_.last_index();
 }
 
-vote_request raft_node::MakeVoteRequest(bool trial) const {
-  return {.term = trial ? term_number(term_.value() + 1) : term_,
+vote_request raft_node::MakeVoteRequest(bool pre_vote) const {
+  return {.term = pre_vote ? term_number(term_.value() + 1) : term_,
           .last_index = log_.last_index(),
           .last_term = log_.last_term(),
-          .trial = trial};
+          .pre_vote = pre_vote};
 }
 
-void raft_node::StartTrial(time_point now) {
-  ArmElection(now);
+void raft_node::StartPreVote(time_point now) {
+  ResetElectionTimer(now);
   if (!IsVoter(self_)) {
     return;
   }
   role_ = raft_role::kCandidate;
-  in_trial_ = true;
+  in_pre_vote_ = true;
   votes_ = {self_};
   for (const member& member : log_.members()) {
     if (member.voter && member.id != self_) {
@@ -50,17 +51,17 @@
 }
 
 void raft_node::StartElection(time_point now) {
-  ArmElection(now);
-  in_trial_ = false;
+  ResetElectionTimer(now);
+  in_pre_vote_ = false;
   term_ = term_number(term_.value() + 1);
   vote_ = self_;
-  // The own vote counts once it is on disk.
+  // This member's own vote is counted once it is on disk.
   votes_.clear();
   RecordVote();
   own_vote_recorded_ = true;
   for (const member& member : log_.members()) {
     if (member.voter && member.id != self_) {
-      SendOnceDurable(member.id, MakeVoteRequest(false));
+      SendWhenDurable(member.id, MakeVoteRequest(false));
     }
   }
 }
@@ -72,7 +73,7 @@
   if (granted < Majority()) {
     return;
   }
-  if (in_trial_) {
+  if (in_pre_vote_) {
     StartElection(now);
   } else {
     BecomeLeader(now);
@@ -82,25 +83,26 @@
 void raft_node::Handle(const member_id& from,
                        const vote_request& m,
                        time_point now) {
-  // Whoever hears a leader does not help to replace it.
-  const bool leader_in_place =
-      HeardLeaderLately(now) || (role_ == raft_role::kLeader && HasQuorum(now));
-  if (m.trial) {
-    const bool granted = m.term > term_ && IsUpToDate(m) && !leader_in_place;
+  // Refuse to vote while there is a live leader, so that a member that cannot
+  // hear the leader does not disrupt it.
+  const bool has_live_leader = HasRecentLeaderContact(now) ||
+                               (role_ == raft_role::kLeader && HasQuorum(now));
+  if (m.pre_vote) {
+    const bool granted = m.term > term_ && IsUpToDate(m) && !has_live_leader;
     Send(from, vote_response{.term = granted ? m.term : term_,
                              .granted = granted,
-                             .trial = true});
+                             .pre_vote = true});
     return;
   }
-  if (m.term < term_ || leader_in_place) {
+  if (m.term < term_ || has_live_leader) {
     Send(from, vote_response{.term = term_, .granted = false});
     return;
   }
   if (m.term > term_) {
     BecomeFollower(m.term, now);
   }
-  const bool free_to_vote = vote_.value().empty() || vote_ == from;
-  if (!free_to_vote || !IsUpToDate(m)) {
+  const bool can_vote = vote_.value().empty() || vote_ == from;
+  if (!can_vote || !IsUpToDate(m)) {
     Send(from, vote_response{.term = term_, .granted = false});
     return;
   }
@@ -108,8 +110,8 @@
     vote_ = from;
     RecordVote();
   }
-  ArmElection(now);
-  SendOnceDurable(from, vote_response{.term = term_, .granted = true});
+  ResetElectionTimer(now);
+  SendWhenDurable(from, vote_response{.term = term_, .granted = true});
 }
 
 void raft_node::Handle(const member_id& from,
@@ -119,11 +121,13 @@
     BecomeFollower(m.term, now);
     return;
   }
-  if (role_ != raft_role::kCandidate || !m.granted || m.trial != in_trial_) {
+  if (role_ != raft_role::kCandidate || !m.granted ||
+      m.pre_vote != in_pre_vote_) {
     return;
   }
-  const term_number asked = in_trial_ ? term_number(term_.value() + 1) : term_;
-  if (m.term != asked) {
+  const term_number expected_term =
+      in_pre_vote_ ? term_number(term_.value() + 1) : term_;
+  if (m.term != expected_term) {
     return;
   }
   votes_.insert(from);
@@ -136,25 +140,25 @@
     leader_ = member_id();
   }
   role_ = raft_role::kFollower;
-  in_trial_ = false;
+  in_pre_vote_ = false;
   peers_.clear();
-  heartbeat_at_ = kNever;
+  next_heartbeat_ = kNever;
   if (term > term_) {
     term_ = term;
     vote_ = member_id();
     leader_ = member_id();
     RecordVote();
   }
-  ArmElection(now);
+  ResetElectionTimer(now);
 }
 
 void raft_node::BecomeLeader(time_point now) {
   role_ = raft_role::kLeader;
   leader_ = self_;
   peers_.clear();
-  TrackPeers(now);
-  term_start_ = log_.last_index() + 1;
-  AppendOwn({.kind = entry_kind::kNothing}, now);
+  UpdatePeers(now);
+  term_start_index_ = log_.last_index() + 1;
+  AppendAsLeader({.kind = entry_kind::kNoOp}, now);
 }
 
 }  // namespace burdocklock::quorum
--- a/src/quorum/internal/membership_changes.cc
+++ b/src/quorum/internal/membership_changes.cc
@@ -1,5 +1,6 @@
-// Membership of raft_node. The leader adds hosts that ask for it, gives them a
-// vote once they have caught up, and removes voters that are gone for good.
+// Membership changes of raft_node. The leader adds hosts that request to join
+// as learners, promotes them to voters once they have caught up, and removes
+// members that were replaced or have stopped responding.
 #include <algorithm>
 #include <utility>
 
@@ -9,29 +10,30 @@
 
 namespace {
 
-// A learner this close to the end of the log has caught up.
-constexpr std::uint64_t kCaughtUpDistance = 16;
+// A learner is promoted when it lags the log by at most this many entries.
+constexpr std::uint64_t kMaxCaughtUpLag = 16;
 
 }  // namespace
 
 void raft_node::Handle(const member_id& from,
                        const join_request& m,
                        time_point now) {
-  if (!MayChangeMembers() || from != m.joiner.id ||
+  if (!MayChangeMembers() || from != m.new_member.id ||
       FindMember(from) != nullptr) {
     return;
   }
   membership members = log_.members();
-  member joiner = m.joiner;
-  joiner.voter = false;
-  members.push_back(std::move(joiner));
+  member new_member = m.new_member;
+  new_member.voter = false;
+  members.push_back(std::move(new_member));
   ChangeMembers(std::move(members), now);
 }
 
 bool raft_node::MayChangeMembers() const {
-  // One change at a time, and none before this term has committed an entry.
-  return role_ == raft_role::kLeader && commit_ >= term_start_ &&
-         commit_ >= log_.members_index();
+  // Allow one change at a time, and only after an entry of the current term has
+  // been committed.
+  return role_ == raft_role::kLeader && commit_index_ >= term_start_index_ &&
+         commit_index_ >= log_.members_index();
 }
 
 void raft_node::ChangeMembers(membership members, time_point now) {
@@ -41,11 +43,11 @@
   entry.term = term_;
   log_.Append(entry);
   Record(append_record{.entry = std::move(entry)});
-  TrackPeers(now);
+  UpdatePeers(now);
   Broadcast(now);
 }
 
-void raft_node::TrackPeers(time_point now) {
+void raft_node::UpdatePeers(time_point now) {
   std::erase_if(peers_, [this](const auto& peer) {
     return FindMember(peer.first) == nullptr;
   });
@@ -58,61 +60,65 @@
   }
 }
 
-bool raft_node::IsHeard(const member_id& id, time_point now) const {
+bool raft_node::IsResponsive(const member_id& id, time_point now) const {
   if (id == self_) {
     return true;
   }
   const auto peer = peers_.find(id);
   return peer != peers_.end() &&
-         now - peer->second.last_ack < options_.min_election;
+         now - peer->second.last_ack < options_.min_election_timeout;
 }
 
-std::optional<member_id> raft_node::FindRemovable(time_point now) const {
+std::optional<member_id> raft_node::FindRemovableMember(time_point now) const {
   const membership& members = log_.members();
-  const std::size_t enough = 2 * std::size_t{options_.tolerated_losses} + 1;
-  for (const member& candidate : members) {
-    const auto peer = peers_.find(candidate.id);
-    if (candidate.id == self_ || peer == peers_.end() ||
-        IsHeard(candidate.id, now)) {
+  const std::size_t required_voters =
+      2 * std::size_t{options_.tolerated_losses} + 1;
+  for (const member& inspected : members) {
+    const auto peer = peers_.find(inspected.id);
+    if (inspected.id == self_ || peer == peers_.end() ||
+        IsResponsive(inspected.id, now)) {
       continue;
     }
-    // A host that has come back without its disk uses the same address.
+    // A host that has lost its disk returns with a new id and the same address.
     const bool replaced =
         std::any_of(members.begin(), members.end(), [&](const member& other) {
-          return other.id != candidate.id && other.links == candidate.links &&
-                 IsHeard(other.id, now) && (other.voter || !candidate.voter);
+          return other.id != inspected.id && other.links == inspected.links &&
+                 IsResponsive(other.id, now) &&
+                 (other.voter || !inspected.voter);
         });
-    const bool silent = now - peer->second.last_ack >= options_.voter_silence;
-    const bool spare = !candidate.voter || VoterCount() > enough;
-    if (replaced || (silent && spare)) {
-      return candidate.id;
+    const bool timed_out =
+        now - peer->second.last_ack >= options_.voter_timeout;
+    const bool redundant = !inspected.voter || VoterCount() > required_voters;
+    if (replaced || (timed_out && redundant)) {
+      return inspected.id;
     }
   }
   return std::nullopt;
 }
 
-void raft_node::ImproveMembership(time_point now) {
+void raft_node::UpdateMembership(time_point now) {
   if (!MayChangeMembers()) {
     return;
   }
   membership members = log_.members();
   for (member& learner : members) {
     const auto peer = peers_.find(learner.id);
-    if (learner.voter || peer == peers_.end() || !IsHeard(learner.id, now)) {
+    if (learner.voter || peer == peers_.end() ||
+        !IsResponsive(learner.id, now)) {
       continue;
     }
     const bool caught_up =
-        peer->second.match + kCaughtUpDistance >= log_.last_index() &&
-        peer->second.match >= term_start_;
+        peer->second.match + kMaxCaughtUpLag >= log_.last_index() &&
+        peer->second.match >= term_start_index_;
     if (caught_up) {
       learner.voter = true;
       ChangeMembers(std::move(members), now);
       return;
     }
   }
-  if (const auto gone = FindRemovable(now)) {
-    std::erase_if(members,
-                  [&](const member& member) { return member.id == *gone; });
+  if (const auto removable = FindRemovableMember(now)) {
+    std::erase_if(
+        members, [&](const member& member) { return member.id == *removable; });
     ChangeMembers(std::move(members), now);
   }
 }
--- a/src/quorum/internal/quorum_codec.cc
+++ b/src/quorum/internal/quorum_codec.cc
@@ -1,4 +1,5 @@
-// See the header. Values are arrays without names, as they are many.
+// Values are encoded as arrays without field names, because there are many of
+// them; the order of the elements is part of the format.
 #include "quorum/quorum_codec.h"
 
 #include <exception>
@@ -48,29 +49,29 @@
 namespace {
 
 json ToJson(const vote_request& m) {
-  return json::array({m.term, m.last_index, m.last_term, m.trial});
+  return json::array({m.term, m.last_index, m.last_term, m.pre_vote});
 }
-void Read(const json& j, vote_request& m) {
+void FromJson(const json& j, vote_request& m) {
   j.at(1).get_to(m.term);
   j.at(2).get_to(m.last_index);
   j.at(3).get_to(m.last_term);
-  j.at(4).get_to(m.trial);
+  j.at(4).get_to(m.pre_vote);
 }
 
 json ToJson(const vote_response& m) {
-  return json::array({m.term, m.granted, m.trial});
+  return json::array({m.term, m.granted, m.pre_vote});
 }
-void Read(const json& j, vote_response& m) {
+void FromJson(const json& j, vote_response& m) {
   j.at(1).get_to(m.term);
   j.at(2).get_to(m.granted);
-  j.at(3).get_to(m.trial);
+  j.at(3).get_to(m.pre_vote);
 }
 
 json ToJson(const append_request& m) {
   return json::array({m.term, m.previous_index, m.previous_term, m.entries,
                       m.commit, m.round});
 }
-void Read(const json& j, append_request& m) {
+void FromJson(const json& j, append_request& m) {
   j.at(1).get_to(m.term);
   j.at(2).get_to(m.previous_index);
   j.at(3).get_to(m.previous_term);
@@ -82,7 +83,7 @@
 json ToJson(const append_response& m) {
   return json::array({m.term, m.accepted, m.match, m.round});
 }
-void Read(const json& j, append_response& m) {
+void FromJson(const json& j, append_response& m) {
   j.at(1).get_to(m.term);
   j.at(2).get_to(m.accepted);
   j.at(3).get_to(m.match);
@@ -92,23 +93,23 @@
 json ToJson(const snapshot_request& m) {
   return json::array({m.term, m.contents, m.round});
 }
-void Read(const json& j, snapshot_request& m) {
+void FromJson(const json& j, snapshot_request& m) {
   j.at(1).get_to(m.term);
   j.at(2).get_to(m.contents);
   j.at(3).get_to(m.round);
 }
 
 json ToJson(const join_request& m) {
-  return json::array({m.joiner});
+  return json::array({m.new_member});
 }
-void Read(const json& j, join_request& m) {
-  j.at(1).get_to(m.joiner);
+void FromJson(const json& j, join_request& m) {
+  j.at(1).get_to(m.new_member);
 }
 
 json ToJson(const vote_record& r) {
   return json::array({r.term, r.vote});
 }
-void Read(const json& j, vote_record& r) {
+void FromJson(const json& j, vote_record& r) {
   j.at(1).get_to(r.term);
   j.at(2).get_to(r.vote);
 }
@@ -116,14 +117,14 @@
 json ToJson(const append_record& r) {
   return json::array({r.entry});
 }
-void Read(const json& j, append_record& r) {
+void FromJson(const json& j, append_record& r) {
   j.at(1).get_to(r.entry);
 }
 
 json ToJson(const truncate_record& r) {
   return json::array({r.first});
 }
-void Read(const json& j, truncate_record& r) {
+void FromJson(const json& j, truncate_record& r) {
   j.at(1).get_to(r.first);
 }
 
@@ -131,7 +132,7 @@
   const durable_state& s = r.state;
   return json::array({s.self, s.term, s.vote, s.base, s.entries});
 }
-void Read(const json& j, rewrite_record& r) {
+void FromJson(const json& j, rewrite_record& r) {
   durable_state& s = r.state;
   j.at(1).get_to(s.self);
   j.at(2).get_to(s.term);
@@ -140,25 +141,26 @@
   j.at(5).get_to(s.entries);
 }
 
-// An alternative is an array that begins with its place in the variant.
+// A variant is encoded as an array that begins with the index of the
+// alternative.
 template <typename Variant>
 json FromVariant(const Variant& value) {
-  json fields =
-      std::visit([](const auto& held) { return ToJson(held); }, value);
+  json fields = std::visit(
+      [](const auto& alternative) { return ToJson(alternative); }, value);
   fields.insert(fields.begin(), value.index());
   return fields;
 }
 
-template <typename Variant, std::size_t Place = 0>
+template <typename Variant, std::size_t Index = 0>
 Variant ToVariant(const json& j) {
-  if constexpr (Place == std::variant_size_v<Variant>) {
+  if constexpr (Index == std::variant_size_v<Variant>) {
     throw std::out_of_range("alternative");
   } else {
-    if (j.at(0).get<std::size_t>() != Place) {
-      return ToVariant<Variant, Place + 1>(j);
+    if (j.at(0).get<std::size_t>() != Index) {
+      return ToVariant<Variant, Index + 1>(j);
     }
-    std::variant_alternative_t<Place, Variant> value;
-    Read(j, value);
+    std::variant_alternative_t<Index, Variant> value;
+    FromJson(j, value);
     return value;
   }
 }
@@ -179,14 +181,14 @@
 }
 
 result<storage_record> DecodeRecord(std::string_view bytes) {
-  // nlohmann::json reports malformed input by exception only.
+  // nlohmann::json reports malformed input only by exception.
   try {
     return ToVariant<storage_record>(ParseCbor(bytes));
-  } catch (const std::exception& problem) {
+  } catch (const std::exception& exception) {
     return error{.code = error_code::kMalformed,
                  .step = "decode record",
                  .peer = {},
-                 .detail = problem.what()};
+                 .detail = exception.what()};
   }
 }
 
--- a/src/quorum/internal/raft_log.cc
+++ b/src/quorum/internal/raft_log.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "quorum/raft_log.h"
 
 #include <type_traits>
@@ -10,7 +9,7 @@
 
 raft_log::raft_log(snapshot base, std::vector<log_entry> entries)
     : base_(std::move(base)), entries_(entries.begin(), entries.end()) {
-  FindMembers();
+  UpdateMembersIndex();
 }
 
 log_index raft_log::last_index() const {
@@ -28,25 +27,25 @@
   if (index < base_.last_index || index > last_index()) {
     return std::nullopt;
   }
-  return At(index).term;
+  return EntryAt(index).term;
 }
 
-const log_entry& raft_log::At(log_index index) const {
+const log_entry& raft_log::EntryAt(log_index index) const {
   return entries_[index.value() - base_.last_index.value() - 1];
 }
 
-std::vector<log_entry> raft_log::From(log_index first,
-                                      std::size_t max_count,
-                                      std::size_t max_bytes) const {
-  std::vector<log_entry> found;
+std::vector<log_entry> raft_log::EntriesFrom(log_index first,
+                                             std::size_t max_count,
+                                             std::size_t max_bytes) const {
+  std::vector<log_entry> entries;
   std::size_t bytes = 0;
   for (log_index index = first;
-       index <= last_index() && found.size() < max_count && bytes < max_bytes;
+       index <= last_index() && entries.size() < max_count && bytes < max_bytes;
        index = index + 1) {
-    found.push_back(At(index));
-    bytes += found.back().command.size();
+    entries.push_back(EntryAt(index));
+    bytes += entries.back().command.size();
   }
-  return found;
+  return entries;
 }
 
 void raft_log::Append(log_entry entry) {
@@ -60,7 +59,7 @@
   while (!entries_.empty() && entries_.back().index >= first) {
     entries_.pop_back();
   }
-  FindMembers();
+  UpdateMembersIndex();
 }
 
 void raft_log::Compact(snapshot base) {
@@ -68,25 +67,25 @@
     entries_.pop_front();
   }
   base_ = std::move(base);
-  FindMembers();
+  UpdateMembersIndex();
 }
 
 void raft_log::Reset(snapshot base) {
   entries_.clear();
   base_ = std::move(base);
-  FindMembers();
+  UpdateMembersIndex();
 }
 
 const membership& raft_log::members() const {
   return members_index_ == base_.last_index ? base_.members
-                                            : At(members_index_).members;
+                                            : EntryAt(members_index_).members;
 }
 
 log_index raft_log::members_index() const {
   return members_index_;
 }
 
-void raft_log::FindMembers() {
+void raft_log::UpdateMembersIndex() {
   members_index_ = base_.last_index;
   for (const log_entry& entry : entries_) {
     if (entry.kind == entry_kind::kMembership) {
--- a/src/quorum/internal/raft_node.cc
+++ b/src/quorum/internal/raft_node.cc
@@ -1,5 +1,5 @@
-// Input, output and storage of a member. See the header; elections,
-// replication and membership have files of their own.
+// Input, output and storage of raft_node. Elections, replication and membership
+// changes are in election.cc, replication.cc and membership_changes.cc.
 #include "quorum/raft_node.h"
 
 #include <algorithm>
@@ -17,13 +17,13 @@
       term_(recovered.term),
       vote_(std::move(recovered.vote)),
       log_(std::move(recovered.base), std::move(recovered.entries)),
-      commit_(log_.base().last_index),
-      durable_(log_.last_index()),
-      leader_heard_(now) {
+      commit_index_(log_.base().last_index),
+      durable_index_(log_.last_index()),
+      last_leader_contact_(now) {
   if (!log_.base().state.empty()) {
     output_.applied.emplace_back(log_.base());
   }
-  ArmElection(now);
+  ResetElectionTimer(now);
 }
 
 void raft_node::OnTick(time_point now) {
@@ -32,20 +32,20 @@
       BecomeFollower(term_, now);
       return;
     }
-    if (now >= heartbeat_at_) {
-      ImproveMembership(now);
+    if (now >= next_heartbeat_) {
+      UpdateMembership(now);
       Broadcast(now);
     }
     return;
   }
-  if (now >= election_at_) {
+  if (now >= election_deadline_) {
     leader_ = member_id();
-    StartTrial(now);
+    StartPreVote(now);
   }
 }
 
 time_point raft_node::NextDeadline() const {
-  return role_ == raft_role::kLeader ? heartbeat_at_ : election_at_;
+  return role_ == raft_role::kLeader ? next_heartbeat_ : election_deadline_;
 }
 
 void raft_node::OnMessage(const member_id& from,
@@ -55,18 +55,19 @@
 }
 
 void raft_node::OnDurable(batch_number batch, time_point now) {
-  while (!pending_.empty() && pending_.front().number <= batch) {
-    pending_batch done = std::move(pending_.front());
-    pending_.pop_front();
-    durable_ = std::max(durable_, done.last_index);
+  while (!pending_batches_.empty() &&
+         pending_batches_.front().number <= batch) {
+    pending_batch done = std::move(pending_batches_.front());
+    pending_batches_.pop_front();
+    durable_index_ = std::max(durable_index_, done.last_index);
     if (done.term != term_) {
-      // What it was to say belongs to an earlier term.
+      // The deferred messages and the vote belong to an earlier term.
       continue;
     }
     for (outgoing_message& message : done.messages) {
       output_.messages.push_back(std::move(message));
     }
-    if (done.own_vote && role_ == raft_role::kCandidate && !in_trial_) {
+    if (done.own_vote && role_ == raft_role::kCandidate && !in_pre_vote_) {
       votes_.insert(self_);
       CountVotes(now);
     }
@@ -80,25 +81,28 @@
   if (!output_.records.empty()) {
     last_batch_ = batch_number(last_batch_.value() + 1);
     output_.batch = last_batch_;
-    pending_.push_back({.number = last_batch_,
-                        .last_index = log_.last_index(),
-                        .term = term_,
-                        .messages = std::exchange(held_back_, {}),
-                        .own_vote = std::exchange(own_vote_recorded_, false)});
-  } else if (!held_back_.empty()) {
+    pending_batches_.push_back(
+        {.number = last_batch_,
+         .last_index = log_.last_index(),
+         .term = term_,
+         .messages = std::exchange(deferred_messages_, {}),
+         .own_vote = std::exchange(own_vote_recorded_, false)});
+  } else if (!deferred_messages_.empty()) {
     std::vector<outgoing_message>& target =
-        pending_.empty() ? output_.messages : pending_.back().messages;
-    std::move(held_back_.begin(), held_back_.end(), std::back_inserter(target));
-    held_back_.clear();
+        pending_batches_.empty() ? output_.messages
+                                 : pending_batches_.back().messages;
+    std::move(deferred_messages_.begin(), deferred_messages_.end(),
+              std::back_inserter(target));
+    deferred_messages_.clear();
   }
   return std::exchange(output_, {});
 }
 
 void raft_node::Compact(log_index applied, std::string state) {
-  if (applied <= log_.base().last_index || applied > commit_) {
+  if (applied <= log_.base().last_index || applied > commit_index_) {
     return;
   }
-  // The list of members as of that position, not a later one.
+  // The snapshot holds the member list as of `applied`, not a later one.
   membership members = log_.base().members;
   for (const log_entry& entry : log_.entries()) {
     if (entry.index <= applied && entry.kind == entry_kind::kMembership) {
@@ -127,14 +131,14 @@
 
 bool raft_node::WantsToJoin(time_point now) const {
   return role_ != raft_role::kLeader &&
-         (FindMember(self_) == nullptr || !HeardLeaderLately(now));
+         (FindMember(self_) == nullptr || !HasRecentLeaderContact(now));
 }
 
 bool raft_node::IsCurrent(time_point now) const {
   if (role_ == raft_role::kLeader) {
-    return commit_ >= term_start_ && HasQuorum(now);
+    return commit_index_ >= term_start_index_ && HasQuorum(now);
   }
-  return HeardLeaderLately(now) && commit_ >= leader_commit_;
+  return HasRecentLeaderContact(now) && commit_index_ >= leader_commit_index_;
 }
 
 member raft_node::Description() const {
@@ -155,10 +159,10 @@
 void raft_node::TruncateFrom(log_index first) {
   log_.Truncate(first);
   Record(truncate_record{.first = first});
-  // What is on disk beyond this does not count any more.
-  durable_ = std::min(durable_, Before(first));
-  for (pending_batch& batch : pending_) {
-    batch.last_index = std::min(batch.last_index, Before(first));
+  // Entries on disk from `first` on no longer count as durable.
+  durable_index_ = std::min(durable_index_, PreviousIndex(first));
+  for (pending_batch& batch : pending_batches_) {
+    batch.last_index = std::min(batch.last_index, PreviousIndex(first));
   }
 }
 
@@ -166,8 +170,8 @@
   output_.messages.push_back({.to = to, .message = std::move(message)});
 }
 
-void raft_node::SendOnceDurable(const member_id& to, quorum_message message) {
-  held_back_.push_back({.to = to, .message = std::move(message)});
+void raft_node::SendWhenDurable(const member_id& to, quorum_message message) {
+  deferred_messages_.push_back({.to = to, .message = std::move(message)});
 }
 
 bool raft_node::IsVoter(const member_id& id) const {
--- a/src/quorum/internal/replication.cc
+++ b/src/quorum/internal/replication.cc
@@ -1,4 +1,4 @@
-// Replication of raft_node: entries, commit and reads.
+// Log replication, commit index and reads of raft_node.
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Least time between two snapshots to one member.
-constexpr std::chrono::milliseconds kSnapshotSpacing{500};
+// Minimum time between two snapshots sent to the same member.
+constexpr std::chrono::milliseconds kMinSnapshotInterval{500};
 
 }  // namespace
 
@@ -21,8 +21,8 @@
     BecomeFollower(term, now);
   }
   leader_ = from;
-  leader_heard_ = now;
-  ArmElection(now);
+  last_leader_contact_ = now;
+  ResetElectionTimer(now);
 }
 
 void raft_node::Handle(const member_id& from,
@@ -33,42 +33,43 @@
     return;
   }
   AcceptLeader(from, m.term, now);
-  leader_commit_ = m.commit;
+  leader_commit_index_ = m.commit;
   const log_index base = log_.base().last_index;
   if (m.previous_index < base) {
-    // Entries up to the snapshot are committed; they need no comparison.
+    // Entries covered by the snapshot are committed and need no comparison.
     std::vector<log_entry> rest;
     std::copy_if(m.entries.begin(), m.entries.end(), std::back_inserter(rest),
                  [&](const log_entry& entry) { return entry.index > base; });
     const log_index last = std::max(
         base, m.previous_index + static_cast<std::uint64_t>(m.entries.size()));
     if (!rest.empty() && rest.front().index == base + 1) {
-      AppendNew(rest);
+      AppendMissingEntries(rest);
     }
     SetCommit(std::min(m.commit, last));
-    AnswerAppend(from, last, m.round);
+    SendAppendResponse(from, last, m.round);
     return;
   }
   if (log_.TermAt(m.previous_index) != m.previous_term) {
-    const log_index hint =
-        std::min(log_.last_index(), Before(m.previous_index));
-    Send(from, append_response{.term = term_, .match = hint, .round = m.round});
+    const log_index next_hint =
+        std::min(log_.last_index(), PreviousIndex(m.previous_index));
+    Send(from,
+         append_response{.term = term_, .match = next_hint, .round = m.round});
     return;
   }
-  AppendNew(m.entries);
+  AppendMissingEntries(m.entries);
   const log_index last =
       m.previous_index + static_cast<std::uint64_t>(m.entries.size());
   SetCommit(std::min(m.commit, last));
-  AnswerAppend(from, last, m.round);
+  SendAppendResponse(from, last, m.round);
 }
 
-void raft_node::AppendNew(const std::vector<log_entry>& entries) {
+void raft_node::AppendMissingEntries(const std::vector<log_entry>& entries) {
   for (const log_entry& entry : entries) {
-    const auto held = log_.TermAt(entry.index);
-    if (held == entry.term) {
+    const auto existing_term = log_.TermAt(entry.index);
+    if (existing_term == entry.term) {
       continue;
     }
-    if (held) {
+    if (existing_term) {
       TruncateFrom(entry.index);
     }
     log_.Append(entry);
@@ -76,16 +77,17 @@
   }
 }
 
-void raft_node::AnswerAppend(const member_id& from,
-                             log_index match,
-                             std::uint64_t round) {
-  // Liveness must not wait for the disk; what is held must.
+void raft_node::SendAppendResponse(const member_id& from,
+                                   log_index match,
+                                   std::uint64_t round) {
+  // Respond at once, so that liveness does not depend on the disk, but report
+  // entries as matching only once they are on disk.
   Send(from, append_response{.term = term_,
                              .accepted = true,
-                             .match = std::min(match, durable_),
+                             .match = std::min(match, durable_index_),
                              .round = round});
-  if (match > durable_) {
-    SendOnceDurable(
+  if (match > durable_index_) {
+    SendWhenDurable(
         from,
         append_response{
             .term = term_, .accepted = true, .match = match, .round = round});
@@ -100,23 +102,23 @@
     return;
   }
   AcceptLeader(from, m.term, now);
-  if (m.contents.last_index <= commit_) {
-    AnswerAppend(from, commit_, m.round);
+  if (m.contents.last_index <= commit_index_) {
+    SendAppendResponse(from, commit_index_, m.round);
     return;
   }
-  durable_ = log_index(0);
-  for (pending_batch& batch : pending_) {
+  durable_index_ = log_index(0);
+  for (pending_batch& batch : pending_batches_) {
     batch.last_index = log_index(0);
   }
   log_.Reset(m.contents);
-  commit_ = m.contents.last_index;
+  commit_index_ = m.contents.last_index;
   Record(rewrite_record{.state = {.self = self_,
                                   .term = term_,
                                   .vote = vote_,
                                   .base = m.contents,
                                   .entries = {}}});
   output_.applied.emplace_back(m.contents);
-  AnswerAppend(from, m.contents.last_index, m.round);
+  SendAppendResponse(from, m.contents.last_index, m.round);
 }
 
 void raft_node::Handle(const member_id& from,
@@ -135,7 +137,8 @@
   peer.acked_round = std::max(peer.acked_round, m.round);
   if (!m.accepted) {
     const log_index next = std::max(m.match + 1, peer.match + 1);
-    // Only news is acted on, or the two would answer each other without end.
+    // Resend only if the index changed; otherwise leader and follower would
+    // exchange the same request and rejection endlessly.
     if (next != std::exchange(peer.next, next)) {
       SendEntries(from, peer, now);
     }
@@ -147,10 +150,10 @@
       SendEntries(from, peer, now);
     }
   }
-  AnswerReads();
+  CompleteReads();
 }
 
-void raft_node::AppendOwn(log_entry entry, time_point now) {
+void raft_node::AppendAsLeader(log_entry entry, time_point now) {
   entry.index = log_.last_index() + 1;
   entry.term = term_;
   log_.Append(entry);
@@ -163,12 +166,13 @@
   if (role_ != raft_role::kLeader) {
     return std::nullopt;
   }
-  AppendOwn({.kind = entry_kind::kCommand, .command = std::move(command)}, now);
+  AppendAsLeader({.kind = entry_kind::kCommand, .command = std::move(command)},
+                 now);
   return proposal{.index = log_.last_index(), .term = term_};
 }
 
 void raft_node::Broadcast(time_point now) {
-  heartbeat_at_ = now + options_.heartbeat;
+  next_heartbeat_ = now + options_.heartbeat_interval;
   ++round_;
   for (auto& [id, peer] : peers_) {
     SendEntries(id, peer, now);
@@ -178,15 +182,16 @@
 void raft_node::SendEntries(const member_id& to,
                             peer_progress& peer,
                             time_point now) {
-  const log_index previous = Before(peer.next);
+  const log_index previous = PreviousIndex(peer.next);
   if (previous < log_.base().last_index) {
-    if (now - peer.snapshot_sent >= kSnapshotSpacing) {
+    if (now - peer.snapshot_sent >= kMinSnapshotInterval) {
       peer.snapshot_sent = now;
       Send(to, snapshot_request{
                    .term = term_, .contents = log_.base(), .round = round_});
       return;
     }
-    // Meanwhile it must hear that there is a leader.
+    // Between snapshots, send a heartbeat so that the member does not start an
+    // election.
     Send(to, append_request{.term = term_,
                             .previous_index = log_.last_index(),
                             .previous_term = log_.last_term(),
@@ -197,46 +202,48 @@
       .term = term_,
       .previous_index = previous,
       .previous_term = *log_.TermAt(previous),
-      .entries = log_.From(peer.next, options_.max_entries_per_message,
-                           options_.max_bytes_per_message),
-      .commit = commit_,
+      .entries = log_.EntriesFrom(peer.next, options_.max_entries_per_message,
+                                  options_.max_bytes_per_message),
+      .commit = commit_index_,
       .round = round_};
-  // Further entries follow without waiting for the answer; a lost message is
-  // noticed by the next heartbeat.
+  // Entries are pipelined without waiting for the response; a lost message is
+  // detected by the next heartbeat.
   peer.next = peer.next + static_cast<std::uint64_t>(request.entries.size());
   Send(to, std::move(request));
 }
 
 void raft_node::AdvanceCommit() {
-  std::vector<log_index> held;
+  std::vector<log_index> match_indexes;
   for (const member& member : log_.members()) {
     if (!member.voter) {
       continue;
     }
     const auto peer = peers_.find(member.id);
     if (member.id == self_) {
-      held.push_back(durable_);
+      match_indexes.push_back(durable_index_);
     } else {
-      held.push_back(peer == peers_.end() ? log_index(0) : peer->second.match);
+      match_indexes.push_back(peer == peers_.end() ? log_index(0)
+                                                   : peer->second.match);
     }
   }
-  if (held.empty()) {
+  if (match_indexes.empty()) {
     return;
   }
-  std::sort(held.begin(), held.end(), std::greater<>());
-  const log_index agreed = held[held.size() / 2];
-  // Entries of earlier terms are committed only by one of this term.
-  if (agreed > commit_ && agreed >= term_start_) {
-    SetCommit(agreed);
-    AnswerReads();
+  std::sort(match_indexes.begin(), match_indexes.end(), std::greater<>());
+  const log_index majority_index = match_indexes[match_indexes.size() / 2];
+  // Entries of earlier terms are committed only together with an entry of the
+  // current term.
+  if (majority_index > commit_index_ && majority_index >= term_start_index_) {
+    SetCommit(majority_index);
+    CompleteReads();
   }
 }
 
 void raft_node::SetCommit(log_index commit) {
   commit = std::min(commit, log_.last_index());
-  while (commit_ < commit) {
-    commit_ = commit_ + 1;
-    output_.applied.emplace_back(log_.At(commit_));
+  while (commit_index_ < commit) {
+    commit_index_ = commit_index_ + 1;
+    output_.applied.emplace_back(log_.EntryAt(commit_index_));
   }
 }
 
@@ -244,25 +251,27 @@
   if (role_ != raft_role::kLeader) {
     return false;
   }
-  // Answers to this round show that there was no other leader until then.
+  // Responses of a quorum to this round confirm that no newer leader had been
+  // elected when the read was requested.
   Broadcast(now);
-  reads_.push_back(
-      {.id = id, .round = round_, .index = std::max(commit_, term_start_)});
-  AnswerReads();
+  reads_.push_back({.id = id,
+                    .round = round_,
+                    .index = std::max(commit_index_, term_start_index_)});
+  CompleteReads();
   return true;
 }
 
-void raft_node::AnswerReads() {
+void raft_node::CompleteReads() {
   std::erase_if(reads_, [this](const pending_read& read) {
-    std::size_t answered = 0;
+    std::size_t acknowledgements = 0;
     for (const member& member : log_.members()) {
       const auto peer = peers_.find(member.id);
-      const bool in_time =
+      const bool acknowledged =
           member.id == self_ ||
           (peer != peers_.end() && peer->second.acked_round >= read.round);
-      answered += member.voter && in_time ? 1 : 0;
+      acknowledgements += member.voter && acknowledged ? 1 : 0;
     }
-    if (answered < Majority() || commit_ < read.index) {
+    if (acknowledgements < Majority() || commit_index_ < read.index) {
       return false;
     }
     output_.reads.push_back({.id = read.id, .sure = true});
@@ -277,17 +286,18 @@
 }
 
 bool raft_node::HasQuorum(time_point now) const {
-  std::size_t heard = 0;
+  std::size_t responsive = 0;
   for (const member& member : log_.members()) {
     if (!member.voter) {
       continue;
     }
     const auto peer = peers_.find(member.id);
-    const bool recent = peer != peers_.end() &&
-                        now - peer->second.last_ack < options_.min_election;
-    heard += member.id == self_ || recent ? 1 : 0;
+    const bool recent =
+        peer != peers_.end() &&
+        now - peer->second.last_ack < options_.min_election_timeout;
+    responsive += member.id == self_ || recent ? 1 : 0;
   }
-  return heard >= Majority();
+  return responsive >= Majority();
 }
 
 }  // namespace burdocklock::quorum
--- a/src/quorum/quorum_codec.h
+++ b/src/quorum/quorum_codec.h
@@ -1,5 +1,4 @@
-// CBOR form of the replicated log: messages between members and records on
-// disk.
+// CBOR encoding of the messages between members and of the records on disk.
 #pragma once
 
 #include <string>
@@ -20,7 +19,7 @@
 void from_json(const nlohmann::json& j, quorum_message& message);
 
 std::string EncodeRecord(const storage_record& record);
-/// Fails if the bytes are not a record.
+/// Fails with kMalformed if the bytes are not a valid record.
 result<storage_record> DecodeRecord(std::string_view bytes);
 
 }  // namespace burdocklock::quorum
--- a/src/quorum/raft_log.h
+++ b/src/quorum/raft_log.h
@@ -1,4 +1,4 @@
-// The part of the replicated log that a member holds in memory.
+// In-memory log of a member: a snapshot and the entries after it.
 #pragma once
 
 #include <cstddef>
@@ -17,23 +17,24 @@
 
   [[nodiscard]] log_index last_index() const;
   [[nodiscard]] term_number last_term() const;
-  /// Term of the entry at that position; nullopt if it is not held.
+  /// Term of the entry at `index`; nullopt if it is compacted or not present.
   [[nodiscard]] std::optional<term_number> TermAt(log_index index) const;
-  [[nodiscard]] const log_entry& At(log_index index) const;
-  /// Entries from `first` on, at most `max_count` and about `max_bytes`.
-  [[nodiscard]] std::vector<log_entry> From(log_index first,
-                                            std::size_t max_count,
-                                            std::size_t max_bytes) const;
+  [[nodiscard]] const log_entry& EntryAt(log_index index) const;
+  /// Entries from `first` on, at most `max_count`. Stops after the entry with
+  /// which the command sizes reach `max_bytes`.
+  [[nodiscard]] std::vector<log_entry> EntriesFrom(log_index first,
+                                                   std::size_t max_count,
+                                                   std::size_t max_bytes) const;
 
   void Append(log_entry entry);
-  /// Drops entries from `first` on.
+  /// Removes the entries from `first` on.
   void Truncate(log_index first);
-  /// Drops entries up to the snapshot's last one.
+  /// Removes the entries covered by the snapshot.
   void Compact(snapshot base);
-  /// Starts over from a snapshot.
+  /// Removes all entries and continues from the snapshot.
   void Reset(snapshot base);
 
-  /// The latest list of members and its position, which may not be committed.
+  /// The latest member list, which need not be committed yet, and its index.
   [[nodiscard]] const membership& members() const;
   [[nodiscard]] log_index members_index() const;
 
@@ -43,11 +44,11 @@
   }
 
  private:
-  void FindMembers();
+  void UpdateMembersIndex();
 
   snapshot base_;
   std::deque<log_entry> entries_;
-  /// Position of the latest membership entry; that of `base_` if none.
+  /// Index of the latest membership entry; the last index of `base_` if none.
   log_index members_index_;
 };
 
--- a/src/quorum/raft_node.h
+++ b/src/quorum/raft_node.h
@@ -1,5 +1,5 @@
-// One member of the replicated log: elections, replication, membership and
-// reads that are certain to be the newest.
+// A member of the replicated log: elections, replication, membership changes
+// and linearizable reads.
 #pragma once
 
 #include <cstdint>
@@ -20,17 +20,20 @@
 namespace burdocklock::quorum {
 
 struct raft_options {
-  /// This host as others shall know it; the id comes from the durable state.
+  /// Addresses of this host as announced to other members; its id comes from
+  /// the durable state.
   endpoint links;
   endpoint commands;
-  duration heartbeat = std::chrono::milliseconds(150);
-  /// A follower campaigns after a random time between these two without a
-  /// leader; a leader without a quorum steps down after the lesser one.
-  duration min_election = std::chrono::milliseconds(800);
-  duration max_election = std::chrono::milliseconds(1600);
-  /// A voter silent for this time is removed if enough others remain.
-  duration voter_silence = std::chrono::seconds(4);
-  /// Hosts that may lose their disks at the same time.
+  duration heartbeat_interval = std::chrono::milliseconds(150);
+  /// A follower that hears no leader starts an election after a random time
+  /// between these two; a leader that hears no quorum steps down after the
+  /// shorter one.
+  duration min_election_timeout = std::chrono::milliseconds(800);
+  duration max_election_timeout = std::chrono::milliseconds(1600);
+  /// A voter that has not responded for this time is removed if enough voters
+  /// remain.
+  duration voter_timeout = std::chrono::seconds(4);
+  /// Number of hosts that may lose their disks at the same time.
   std::uint32_t tolerated_losses = 1;
   std::size_t max_entries_per_message = 64;
   std::size_t max_bytes_per_message = 512 * 1024;
@@ -50,9 +53,9 @@
   return "follower";
 }
 
-/// Names one question of the owner whether its state is the newest.
+/// Identifies a read request of the owner.
 using read_id = strong_type<struct read_id_tag, std::uint64_t>;
-/// Counts the batches of records handed over for storage.
+/// Sequence number of a batch of records handed over for storage.
 using batch_number = strong_type<struct batch_number_tag, std::uint64_t>;
 
 struct outgoing_message {
@@ -62,8 +65,8 @@
 
 struct read_result {
   read_id id;
-  /// The owner's state, with all that was applied before this, was the newest
-  /// when the question was asked.
+  /// The owner's state, including everything applied before this result, was
+  /// up to date when the read was requested.
   bool sure = false;
 };
 
@@ -72,11 +75,13 @@
   term_number term;
 };
 
-/// To be applied to the owner's state, in order.
+/// A committed entry to apply to the owner's state, or a snapshot that replaces
+/// that state; to be processed in order.
 using applied_item = std::variant<log_entry, snapshot>;
 
 struct raft_output {
-  /// To be written and synced in order, then reported by `OnDurable`.
+  /// Number of the batch in `records`, to be reported by `OnDurable` once the
+  /// records are written in order and synced.
   batch_number batch;
   std::vector<storage_record> records;
   std::vector<outgoing_message> messages;
@@ -84,15 +89,15 @@
   std::vector<read_result> reads;
 };
 
-/// Deterministic state machine of the Raft family, with pre-vote, a leader that
-/// steps down without a quorum, and changes of one member at a time. Storage
-/// is asynchronous: what must not be said before it is on disk is held back
+/// Deterministic Raft state machine with pre-vote, a leader that steps down
+/// when it loses its quorum, and single-member membership changes. Storage is
+/// asynchronous: messages that depend on records being on disk are deferred
 /// until `OnDurable`; heartbeats do not wait for the disk.
 ///
-/// Invariants: at most one leader a term; an entry is applied only when a
-/// majority of the voters has it on disk; entries applied at one position are
-/// equal at all members; a member counts for nothing before its own records
-/// are durable.
+/// Invariants: there is at most one leader per term; an entry is applied only
+/// when a majority of the voters has it on disk; all members apply the same
+/// entry at the same index; a member's votes and entries are not counted before
+/// its records are durable.
 class raft_node {
  public:
   raft_node(raft_options options,
@@ -107,30 +112,33 @@
                  time_point now);
   void OnDurable(batch_number batch, time_point now);
 
-  /// Appends a command; nullopt unless this member leads.
+  /// Appends a command; nullopt unless this member is the leader.
   std::optional<proposal> Propose(std::string command, time_point now);
-  /// Asks for a `read_result`; false unless this member leads.
+  /// Requests a `read_result`; false unless this member is the leader.
   bool RequestRead(read_id id, time_point now);
-  /// The owner's state after the entry at `applied`, so that the log can be
-  /// cut short.
+  /// Replaces the log up to `applied` by a snapshot; `state` is the owner's
+  /// state after applying that entry.
   void Compact(log_index applied, std::string state);
 
-  /// What is to be done since the last call.
+  /// Returns the output accumulated since the last call.
   raft_output TakeOutput();
 
   [[nodiscard]] raft_role role() const { return role_; }
   [[nodiscard]] term_number term() const { return term_; }
   [[nodiscard]] const member_id& self() const { return self_; }
-  /// The leader as far as known; empty if none was heard lately.
+  /// The last known leader; empty if none was heard within the election
+  /// timeout.
   [[nodiscard]] const member_id& leader() const { return leader_; }
   [[nodiscard]] const membership& members() const { return log_.members(); }
   [[nodiscard]] const member* FindMember(const member_id& id) const;
-  [[nodiscard]] log_index commit() const { return commit_; }
+  [[nodiscard]] log_index commit() const { return commit_index_; }
   [[nodiscard]] const raft_log& log() const { return log_; }
-  /// True if others should be asked to add this host.
+  /// True if this host should send join requests: it is not a member, or it is
+  /// not the leader and has not heard one recently.
   [[nodiscard]] bool WantsToJoin(time_point now) const;
-  /// True if this member has heard, within the lesser election time, from a
-  /// leader with nothing newer, or leads with a quorum itself.
+  /// True if this member has heard from a leader within the minimum election
+  /// timeout and has reached the commit index that the leader reported, or
+  /// leads with a quorum and a committed entry of its term.
   [[nodiscard]] bool IsCurrent(time_point now) const;
   [[nodiscard]] member Description() const;
 
@@ -144,7 +152,7 @@
   };
   struct pending_batch {
     batch_number number;
-    /// Last entry that is on disk once this batch is.
+    /// Last log entry that is on disk once this batch is.
     log_index last_index;
     term_number term;
     std::vector<outgoing_message> messages;
@@ -159,48 +167,49 @@
   // Elections (election.cc).
   void Handle(const member_id& from, const vote_request& m, time_point now);
   void Handle(const member_id& from, const vote_response& m, time_point now);
-  void StartTrial(time_point now);
+  void StartPreVote(time_point now);
   void StartElection(time_point now);
   void CountVotes(time_point now);
   void BecomeFollower(term_number term, time_point now);
   void BecomeLeader(time_point now);
-  void ArmElection(time_point now);
-  [[nodiscard]] bool HeardLeaderLately(time_point now) const;
+  void ResetElectionTimer(time_point now);
+  [[nodiscard]] bool HasRecentLeaderContact(time_point now) const;
   [[nodiscard]] bool IsUpToDate(const vote_request& request) const;
-  [[nodiscard]] vote_request MakeVoteRequest(bool trial) const;
+  [[nodiscard]] vote_request MakeVoteRequest(bool pre_vote) const;
 
   // Replication (replication.cc).
   void Handle(const member_id& from, const append_request& m, time_point now);
   void Handle(const member_id& from, const append_response& m, time_point now);
   void Handle(const member_id& from, const snapshot_request& m, time_point now);
   void AcceptLeader(const member_id& from, term_number term, time_point now);
-  void AppendNew(const std::vector<log_entry>& entries);
-  void AnswerAppend(const member_id& from,
-                    log_index match,
-                    std::uint64_t round);
-  void AppendOwn(log_entry entry, time_point now);
+  void AppendMissingEntries(const std::vector<log_entry>& entries);
+  void SendAppendResponse(const member_id& from,
+                          log_index match,
+                          std::uint64_t round);
+  void AppendAsLeader(log_entry entry, time_point now);
   void Broadcast(time_point now);
   void SendEntries(const member_id& to, peer_progress& peer, time_point now);
   void AdvanceCommit();
   void SetCommit(log_index commit);
-  void AnswerReads();
+  void CompleteReads();
   void FailReads();
   [[nodiscard]] bool HasQuorum(time_point now) const;
 
   // Membership (membership_changes.cc).
   void Handle(const member_id& from, const join_request& m, time_point now);
-  void ImproveMembership(time_point now);
+  void UpdateMembership(time_point now);
   void ChangeMembers(membership members, time_point now);
   [[nodiscard]] bool MayChangeMembers() const;
-  [[nodiscard]] bool IsHeard(const member_id& id, time_point now) const;
-  [[nodiscard]] std::optional<member_id> FindRemovable(time_point now) const;
-  void TrackPeers(time_point now);
+  [[nodiscard]] bool IsResponsive(const member_id& id, time_point now) const;
+  [[nodiscard]] std::optional<member_id> FindRemovableMember(
+      time_point now) const;
+  void UpdatePeers(time_point now);
 
   void Record(storage_record record);
   void RecordVote();
   void TruncateFrom(log_index first);
   void Send(const member_id& to, quorum_message message);
-  void SendOnceDurable(const member_id& to, quorum_message message);
+  void SendWhenDurable(const member_id& to, quorum_message message);
   [[nodiscard]] bool IsVoter(const member_id& id) const;
   [[nodiscard]] std::size_t VoterCount() const;
   [[nodiscard]] std::size_t Majority() const { return VoterCount() / 2 + 1; }
@@ -211,31 +220,30 @@
   term_number term_;
   member_id vote_;
   raft_log log_;
-  log_index commit_;
-  /// Last own entry known to be on disk.
-  log_index durable_;
+  log_index commit_index_;
+  /// Last entry of the local log known to be on disk.
+  log_index durable_index_;
 
   raft_role role_ = raft_role::kFollower;
   member_id leader_;
-  /// When the leader was last heard.
-  time_point leader_heard_;
-  /// The leader's commit position when it was last heard.
-  log_index leader_commit_;
-  time_point election_at_;
-  bool in_trial_ = false;
+  time_point last_leader_contact_;
+  /// The commit index in the leader's latest append request.
+  log_index leader_commit_index_;
+  time_point election_deadline_;
+  bool in_pre_vote_ = false;
   std::set<member_id> votes_;
 
-  // While leading.
+  // Leader state.
   std::map<member_id, peer_progress> peers_;
   std::uint64_t round_ = 0;
-  time_point heartbeat_at_ = kNever;
-  log_index term_start_;
+  time_point next_heartbeat_ = kNever;
+  log_index term_start_index_;
   std::vector<pending_read> reads_;
 
   raft_output output_;
-  std::vector<outgoing_message> held_back_;
+  std::vector<outgoing_message> deferred_messages_;
   bool own_vote_recorded_ = false;
-  std::deque<pending_batch> pending_;
+  std::deque<pending_batch> pending_batches_;
   batch_number last_batch_{0};
 };
 
--- a/src/quorum/tests/fake_cluster.h
+++ b/src/quorum/tests/fake_cluster.h
@@ -1,4 +1,4 @@
-// Members of one log on virtual time, with a network and disks that misbehave.
+// Simulated raft_node cluster on virtual time, with network and disk faults.
 #pragma once
 
 #include <deque>
@@ -17,7 +17,7 @@
 
 class fake_cluster {
  public:
-  /// The first `voters` of `hosts` know each other from the start.
+  /// The first `voters` of `hosts` start with a common member list.
   fake_cluster(std::uint32_t seed, std::size_t voters, std::size_t hosts)
       : random_(seed) {
     membership first;
@@ -49,15 +49,17 @@
     }
   }
 
-  // Troubles.
-  void Cut(std::size_t from, std::size_t to) { cuts_.emplace(from, to); }
-  void CutOff(std::size_t host) {
+  // Fault injection.
+  void BlockLink(std::size_t from, std::size_t to) {
+    blocked_links_.emplace(from, to);
+  }
+  void Isolate(std::size_t host) {
     for (std::size_t other = 0; other < hosts_.size(); ++other) {
-      Cut(host, other);
-      Cut(other, host);
+      BlockLink(host, other);
+      BlockLink(other, host);
     }
   }
-  void Heal() { cuts_.clear(); }
+  void UnblockLinks() { blocked_links_.clear(); }
   void SetLoss(std::uint32_t percent) { loss_percent_ = percent; }
   void SetDiskDelay(std::size_t host, duration delay) {
     hosts_[host].disk_delay = delay;
@@ -65,8 +67,8 @@
       write.done = std::min(write.done, now + delay);
     }
   }
-  /// The process ends; what was not synced is lost.
-  void Kill(std::size_t host) {
+  /// Stops the process; writes that were not synced are lost.
+  void Crash(std::size_t host) {
     hosts_[host].node.reset();
     hosts_[host].writes.clear();
     hosts_[host].state.clear();
@@ -76,14 +78,15 @@
     raft_options options;
     options.links = LinkOf(host);
     h.node = std::make_unique<raft_node>(options, h.disk, random_, now);
-    h.next_join = now;
-    Drain(host);
+    h.next_join_request = now;
+    ProcessOutput(host);
   }
-  /// Comes back later with an empty disk.
-  void Wipe(std::size_t host) {
-    Kill(host);
+  /// Stops the process and erases its disk; it rejoins under a new id when
+  /// started.
+  void WipeDisk(std::size_t host) {
+    Crash(host);
     fake_host& h = hosts_[host];
-    h.disk = durable_state{.self = IdOf(host, ++h.life)};
+    h.disk = durable_state{.self = IdOf(host, ++h.generation)};
     h.disk_lost = now;
   }
 
@@ -96,7 +99,7 @@
     }
     return std::nullopt;
   }
-  /// Gives a command to any host that believes that it leads.
+  /// Proposes a command at the first host that considers itself the leader.
   bool Propose(const std::string& command) {
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       if (!hosts_[i].node) {
@@ -104,16 +107,16 @@
       }
       const auto accepted = hosts_[i].node->Propose(command, now);
       if (accepted) {
-        hosts_[i].waiting[accepted->index] = {accepted->term, command};
-        Drain(i);
+        hosts_[i].proposals[accepted->index] = {accepted->term, command};
+        ProcessOutput(i);
         return true;
       }
     }
     return false;
   }
-  void Ask(std::size_t host, std::uint64_t id) {
+  void RequestRead(std::size_t host, std::uint64_t id) {
     if (hosts_[host].node->RequestRead(read_id(id), now)) {
-      Drain(host);
+      ProcessOutput(host);
     }
   }
 
@@ -125,14 +128,14 @@
   std::size_t size() const { return hosts_.size(); }
   std::uint32_t Below(std::uint32_t bound) { return random_.Below(bound); }
 
-  /// Commands that their leader has reported as done.
+  /// Commands that were committed at the leader that proposed them.
   std::vector<acknowledged> acks;
-  /// Answers to `Ask`.
-  std::map<std::uint64_t, bool> answers;
-  /// What was applied at each position, by whichever member was first.
+  /// Results of `RequestRead`.
+  std::map<std::uint64_t, bool> read_results;
+  /// The entry that was first applied at each index, by any member.
   std::map<log_index, log_entry> history;
   bool diverged = false;
-  /// Leaders of each term.
+  /// Members that were leader in each term.
   std::map<term_number, std::set<member_id>> leaders;
   time_point now{std::chrono::seconds(100)};
 
@@ -153,9 +156,9 @@
     std::unique_ptr<raft_node> node;
     std::vector<std::string> state;
     std::size_t since_compaction = 0;
-    std::map<log_index, std::pair<term_number, std::string>> waiting;
-    std::uint64_t life = 0;
-    time_point next_join{};
+    std::map<log_index, std::pair<term_number, std::string>> proposals;
+    std::uint64_t generation = 0;
+    time_point next_join_request{};
   };
   struct packet {
     time_point due;
@@ -165,8 +168,9 @@
     quorum_message message;
   };
 
-  static member_id IdOf(std::size_t host, std::uint64_t life) {
-    return member_id("h" + std::to_string(host) + "#" + std::to_string(life));
+  static member_id IdOf(std::size_t host, std::uint64_t generation) {
+    return member_id("h" + std::to_string(host) + "#" +
+                     std::to_string(generation));
   }
   static endpoint LinkOf(std::size_t host) {
     return {.address = "10.0.0." + std::to_string(host), .port = 1};
@@ -188,35 +192,35 @@
       const std::size_t to = HostOf(packet.to);
       if (hosts_[to].node && hosts_[to].node->self() == packet.to) {
         hosts_[to].node->OnMessage(packet.sender, packet.message, now);
-        Drain(to);
+        ProcessOutput(to);
       }
     }
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
-      Sync(i);
+      CompleteWrites(i);
       if (hosts_[i].node && hosts_[i].node->NextDeadline() <= now) {
         hosts_[i].node->OnTick(now);
-        Drain(i);
+        ProcessOutput(i);
       }
-      Join(i);
+      RequestJoin(i);
     }
   }
-  void Join(std::size_t host) {
+  void RequestJoin(std::size_t host) {
     fake_host& h = hosts_[host];
-    if (!h.node || now < h.next_join) {
+    if (!h.node || now < h.next_join_request) {
       return;
     }
-    h.next_join = now + std::chrono::milliseconds(300);
+    h.next_join_request = now + std::chrono::milliseconds(300);
     if (!h.node->WantsToJoin(now)) {
       return;
     }
     for (std::size_t other = 0; other < hosts_.size(); ++other) {
       if (other != host && hosts_[other].node) {
-        Post(host, {.to = hosts_[other].node->self(),
-                    .message = join_request{h.node->Description()}});
+        SendPacket(host, {.to = hosts_[other].node->self(),
+                          .message = join_request{h.node->Description()}});
       }
     }
   }
-  void Sync(std::size_t host) {
+  void CompleteWrites(std::size_t host) {
     fake_host& h = hosts_[host];
     while (!h.writes.empty() && h.writes.front().done <= now) {
       for (const storage_record& record : h.writes.front().records) {
@@ -225,10 +229,10 @@
       const batch_number batch = h.writes.front().batch;
       h.writes.pop_front();
       h.node->OnDurable(batch, now);
-      Drain(host);
+      ProcessOutput(host);
     }
   }
-  void Drain(std::size_t host) {
+  void ProcessOutput(std::size_t host) {
     fake_host& h = hosts_[host];
     raft_output output = h.node->TakeOutput();
     if (h.node->role() == raft_role::kLeader) {
@@ -240,25 +244,25 @@
                           .records = std::move(output.records)});
     }
     for (outgoing_message& message : output.messages) {
-      Post(host, std::move(message));
+      SendPacket(host, std::move(message));
     }
     for (const applied_item& item : output.applied) {
       if (const auto* base = std::get_if<snapshot>(&item)) {
-        h.state = Split(base->state);
+        h.state = DecodeState(base->state);
       } else {
         ApplyEntry(h, std::get<log_entry>(item));
       }
     }
     for (const read_result& read : output.reads) {
-      answers[read.id.value()] = read.sure;
+      read_results[read.id.value()] = read.sure;
     }
     if (h.since_compaction >= kCompactEvery) {
       h.since_compaction = 0;
-      h.node->Compact(h.node->commit(), Join(h.state));
-      Drain(host);
+      h.node->Compact(h.node->commit(), EncodeState(h.state));
+      ProcessOutput(host);
     }
   }
-  // What comes in during one sync is written by the next one.
+  // Models group commit: batches that arrive during a sync share the next one.
   time_point NextSync(const fake_host& h) const {
     if (h.writes.empty()) {
       return now + h.disk_delay;
@@ -273,17 +277,18 @@
       h.state.push_back(entry.command);
     }
     ++h.since_compaction;
-    const auto waiting = h.waiting.find(entry.index);
-    if (waiting != h.waiting.end()) {
-      if (waiting->second.first == entry.term) {
-        acks.push_back({waiting->second.second, entry.index});
+    const auto proposals = h.proposals.find(entry.index);
+    if (proposals != h.proposals.end()) {
+      if (proposals->second.first == entry.term) {
+        acks.push_back({proposals->second.second, entry.index});
       }
-      h.waiting.erase(waiting);
+      h.proposals.erase(proposals);
     }
   }
-  void Post(std::size_t from, outgoing_message message) {
+  void SendPacket(std::size_t from, outgoing_message message) {
     const std::size_t to = HostOf(message.to);
-    if (cuts_.contains({from, to}) || random_.Below(100) < loss_percent_) {
+    if (blocked_links_.contains({from, to}) ||
+        random_.Below(100) < loss_percent_) {
       return;
     }
     network_.push_back(
@@ -293,14 +298,14 @@
          .to = message.to,
          .message = std::move(message.message)});
   }
-  static std::string Join(const std::vector<std::string>& state) {
+  static std::string EncodeState(const std::vector<std::string>& state) {
     std::string joined = "s";
     for (const std::string& command : state) {
       joined += "\n" + command;
     }
     return joined;
   }
-  static std::vector<std::string> Split(const std::string& joined) {
+  static std::vector<std::string> DecodeState(const std::string& joined) {
     std::vector<std::string> state;
     std::size_t at = joined.find('\n');
     while (at != std::string::npos) {
@@ -314,7 +319,7 @@
   seeded_random random_;
   std::vector<fake_host> hosts_;
   std::vector<packet> network_;
-  std::set<std::pair<std::size_t, std::size_t>> cuts_;
+  std::set<std::pair<std::size_t, std::size_t>> blocked_links_;
   std::uint32_t loss_percent_ = 0;
 };
 
--- a/src/quorum/tests/quorum_unittest.cc
+++ b/src/quorum/tests/quorum_unittest.cc
@@ -1,4 +1,4 @@
-// The replicated log under failures, on virtual time.
+// Tests of the replicated log under faults, on virtual time.
 #include <algorithm>
 #include <cstdlib>
 
@@ -13,21 +13,23 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-bool Holds(const std::vector<std::string>& state, const std::string& command) {
+bool Contains(const std::vector<std::string>& state,
+              const std::string& command) {
   return std::find(state.begin(), state.end(), command) != state.end();
 }
 
-// The promises of the log, whatever has happened.
-void CheckPromises(const fake_cluster& cluster) {
+// Checks the safety invariants, which hold under any faults.
+void CheckInvariants(const fake_cluster& cluster) {
   REQUIRE_FALSE(cluster.diverged);
   for (const auto& [term, leaders] : cluster.leaders) {
     REQUIRE(leaders.size() <= 1);
   }
 }
 
-// After all troubles are over: one leader that holds all that was acknowledged.
+// Ends all faults and checks that a leader emerges that holds every
+// acknowledged command.
 void CheckRecovered(fake_cluster& cluster) {
-  cluster.Heal();
+  cluster.UnblockLinks();
   cluster.SetLoss(0);
   for (std::size_t i = 0; i < cluster.size(); ++i) {
     cluster.SetDiskDelay(i, milliseconds(5));
@@ -36,72 +38,76 @@
     }
   }
   cluster.RunFor(seconds(12));
-  CheckPromises(cluster);
+  CheckInvariants(cluster);
   REQUIRE(cluster.Leader().has_value());
   const auto& state = cluster.State(*cluster.Leader());
   for (const auto& ack : cluster.acks) {
-    REQUIRE(Holds(state, ack.command));
+    REQUIRE(Contains(state, ack.command));
   }
 }
 
-struct three_hosts {
+struct three_host_fixture {
   fake_cluster cluster{11, 3, 3};
 
-  three_hosts() { cluster.RunFor(seconds(4)); }
+  three_host_fixture() { cluster.RunFor(seconds(4)); }
   std::size_t Leader() {
     REQUIRE(cluster.Leader().has_value());
     return *cluster.Leader();
   }
 };
 
-TEST_CASE_METHOD(three_hosts, "log: first start: one leader acknowledges") {
+TEST_CASE_METHOD(three_host_fixture,
+                 "log: first start: one leader acknowledges") {
   Leader();
   REQUIRE(cluster.Propose("a"));
   cluster.RunFor(milliseconds(200));
   CHECK(cluster.acks.size() == 1);
   cluster.RunFor(milliseconds(500));
   for (std::size_t i = 0; i < 3; ++i) {
-    CHECK(Holds(cluster.State(i), "a"));
+    CHECK(Contains(cluster.State(i), "a"));
   }
 }
 
-TEST_CASE_METHOD(three_hosts, "log: leader cut off: another within 3 s") {
+TEST_CASE_METHOD(three_host_fixture,
+                 "log: isolated leader: another is elected within 3 s") {
   const std::size_t old = Leader();
-  cluster.CutOff(old);
+  cluster.Isolate(old);
   cluster.RunFor(seconds(3));
   REQUIRE(cluster.Leader().has_value());
   CHECK(*cluster.Leader() != old);
   CHECK_FALSE(cluster.Node(old).role() == raft_role::kLeader);
-  CheckPromises(cluster);
+  CheckInvariants(cluster);
 }
 
-TEST_CASE_METHOD(three_hosts, "log: leader that hears nobody: steps down") {
+TEST_CASE_METHOD(three_host_fixture,
+                 "log: leader that receives no messages: steps down") {
   const std::size_t old = Leader();
   for (std::size_t other = 0; other < 3; ++other) {
-    cluster.Cut(other, old);
+    cluster.BlockLink(other, old);
   }
   cluster.RunFor(seconds(4));
   REQUIRE(cluster.Leader().has_value());
   CHECK(*cluster.Leader() != old);
 }
 
-TEST_CASE_METHOD(three_hosts, "read: at a leader cut off: never sure") {
+TEST_CASE_METHOD(three_host_fixture,
+                 "read: at an isolated leader: never confirmed") {
   const std::size_t old = Leader();
-  cluster.CutOff(old);
-  cluster.Ask(old, 1);
+  cluster.Isolate(old);
+  cluster.RequestRead(old, 1);
   cluster.RunFor(seconds(3));
-  CHECK_FALSE(cluster.answers.at(1));
+  CHECK_FALSE(cluster.read_results.at(1));
 }
 
-TEST_CASE_METHOD(three_hosts, "read: at a leader in touch: sure") {
-  cluster.Ask(Leader(), 1);
+TEST_CASE_METHOD(three_host_fixture, "read: at a connected leader: confirmed") {
+  cluster.RequestRead(Leader(), 1);
   cluster.RunFor(milliseconds(100));
-  CHECK(cluster.answers.at(1));
+  CHECK(cluster.read_results.at(1));
 }
 
 TEST_CASE_METHOD(
-    three_hosts,
-    "disk: stalls at the leader: others acknowledge, it leads on") {
+    three_host_fixture,
+    "disk: stall at the leader: followers acknowledge, leader stays") {
   const std::size_t leader = Leader();
   cluster.SetDiskDelay(leader, seconds(30));
   REQUIRE(cluster.Propose("a"));
@@ -110,27 +116,28 @@
   CHECK(cluster.Leader() == leader);
 }
 
-TEST_CASE_METHOD(three_hosts,
-                 "disk: lost after an acknowledgement while the rest loses "
-                 "power: still held") {
+TEST_CASE_METHOD(three_host_fixture,
+                 "disk: lost after an acknowledgement while the others lose "
+                 "power: command kept") {
   const std::size_t leader = Leader();
-  // One follower misses the entry.
+  // This follower does not receive the entry.
   const std::size_t behind = (leader + 1) % 3;
-  cluster.CutOff(behind);
+  cluster.Isolate(behind);
   REQUIRE(cluster.Propose("a"));
   cluster.RunFor(milliseconds(100));
   REQUIRE(cluster.acks.size() == 1);
-  cluster.Wipe(leader);
-  cluster.Kill(behind);
-  cluster.Kill((leader + 2) % 3);
+  cluster.WipeDisk(leader);
+  cluster.Crash(behind);
+  cluster.Crash((leader + 2) % 3);
   CheckRecovered(cluster);
 }
 
-TEST_CASE_METHOD(three_hosts,
-                 "membership: host with an empty disk: replaces what it was") {
+TEST_CASE_METHOD(
+    three_host_fixture,
+    "membership: host with an empty disk: replaces its old member") {
   const std::size_t lost = (Leader() + 1) % 3;
   const member_id before = cluster.Node(lost).self();
-  cluster.Wipe(lost);
+  cluster.WipeDisk(lost);
   cluster.RunFor(seconds(2));
   cluster.Start(lost);
   cluster.RunFor(seconds(4));
@@ -141,11 +148,11 @@
   CHECK(leader.members().size() == 3);
 }
 
-TEST_CASE_METHOD(three_hosts,
-                 "membership: two disks lost one after the other: all held") {
+TEST_CASE_METHOD(three_host_fixture,
+                 "membership: two disks lost in succession: command kept") {
   REQUIRE(cluster.Propose("a"));
   cluster.RunFor(milliseconds(200));
-  cluster.Wipe((Leader() + 1) % 3);
+  cluster.WipeDisk((Leader() + 1) % 3);
   cluster.RunFor(seconds(1));
   for (std::size_t i = 0; i < 3; ++i) {
     if (!cluster.IsUp(i)) {
@@ -153,11 +160,11 @@
     }
   }
   cluster.RunFor(seconds(4));
-  cluster.Wipe(Leader());
+  cluster.WipeDisk(Leader());
   CheckRecovered(cluster);
 }
 
-TEST_CASE("membership: a fourth host: gets a vote once it has caught up") {
+TEST_CASE("membership: fourth host: becomes a voter once it has caught up") {
   fake_cluster cluster(5, 3, 4);
   cluster.RunFor(seconds(6));
   REQUIRE(cluster.Leader().has_value());
@@ -168,24 +175,24 @@
   }
 }
 
-TEST_CASE("snapshot: host that missed more than the log holds: catches up") {
+TEST_CASE("snapshot: host behind the compacted log: catches up") {
   fake_cluster cluster(6, 3, 3);
   cluster.RunFor(seconds(4));
   const std::size_t behind = (*cluster.Leader() + 1) % 3;
-  cluster.CutOff(behind);
+  cluster.Isolate(behind);
   for (int i = 0; i < 100; ++i) {
     cluster.Propose("c" + std::to_string(i));
     cluster.RunFor(milliseconds(20));
   }
   REQUIRE(cluster.acks.size() == 100);
-  cluster.Heal();
+  cluster.UnblockLinks();
   cluster.RunFor(seconds(4));
   CHECK(cluster.State(behind).size() == 100);
-  CheckPromises(cluster);
+  CheckInvariants(cluster);
 }
 
-// Troubles in random order; at most one disk is lost at a time.
-void PlayRandomTroubles(std::uint32_t seed, std::size_t hosts) {
+// Injects faults in random order; at most one disk is lost at a time.
+void RunRandomFaults(std::uint32_t seed, std::size_t hosts) {
   fake_cluster cluster(seed, 3, hosts);
   cluster.RunFor(seconds(3));
   int next_command = 0;
@@ -195,16 +202,16 @@
     const std::size_t host = cluster.Below(static_cast<std::uint32_t>(hosts));
     switch (cluster.Below(9)) {
       case 0:
-        cluster.CutOff(host);
+        cluster.Isolate(host);
         break;
       case 1:
-        cluster.Cut(host, (host + 1) % hosts);
+        cluster.BlockLink(host, (host + 1) % hosts);
         break;
       case 2:
-        cluster.Heal();
+        cluster.UnblockLinks();
         break;
       case 3:
-        cluster.Kill(host);
+        cluster.Crash(host);
         break;
       case 4:
         cluster.SetLoss(cluster.Below(30));
@@ -213,9 +220,9 @@
         cluster.SetDiskDelay(host, milliseconds(cluster.Below(2000)));
         break;
       case 6:
-        // A disk counts as lost until its host has had time to catch up.
+        // A disk counts as lost until its host has had time to catch up again.
         if (!wiped) {
-          cluster.Wipe(host);
+          cluster.WipeDisk(host);
           wiped = host;
           wiped_at = cluster.now;
         }
@@ -232,32 +239,33 @@
       cluster.RunFor(milliseconds(100));
     }
     if (wiped && cluster.now - wiped_at > seconds(3)) {
-      // All calm until the empty disk has been filled again.
+      // End all faults until the wiped host has caught up.
       CheckRecovered(cluster);
       wiped.reset();
     }
-    CheckPromises(cluster);
+    CheckInvariants(cluster);
   }
   CheckRecovered(cluster);
   CHECK(cluster.acks.size() > 10);
 }
 
-TEST_CASE("log: random troubles at 3 hosts: every promise holds") {
+TEST_CASE("log: random faults on 3 hosts: invariants hold") {
   for (std::uint32_t seed = 1; seed <= 12; ++seed) {
     CAPTURE(seed);
-    PlayRandomTroubles(seed, 3);
+    RunRandomFaults(seed, 3);
   }
 }
 
-TEST_CASE("log: random troubles at 5 hosts: every promise holds") {
+TEST_CASE("log: random faults on 5 hosts: invariants hold") {
   for (std::uint32_t seed = 101; seed <= 108; ++seed) {
     CAPTURE(seed);
-    PlayRandomTroubles(seed, 5);
+    RunRandomFaults(seed, 5);
   }
 }
 
-// Many more seeds by hand: QUORUM_SEEDS="first count".
-TEST_CASE("log: seeds given by hand: every promise holds", "[.][soak]") {
+// Soak test over further seeds, run on request: QUORUM_SEEDS="first count".
+TEST_CASE("log: random faults with QUORUM_SEEDS: invariants hold",
+          "[.][soak]") {
   const char* text = std::getenv("QUORUM_SEEDS");
   unsigned first = 1000;
   unsigned count = 100;
@@ -266,7 +274,7 @@
   }
   for (unsigned seed = first; seed < first + count; ++seed) {
     CAPTURE(seed);
-    PlayRandomTroubles(seed, 3 + seed % 3);
+    RunRandomFaults(seed, 3 + seed % 3);
   }
 }
 
--- a/src/quorum/types/log_entry.h
+++ b/src/quorum/types/log_entry.h
@@ -1,4 +1,4 @@
-// Entries of the replicated log, and who replicates it.
+// Replicated log entries, snapshots and the members that replicate them.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +10,9 @@
 
 namespace burdocklock::quorum {
 
-/// A control host with one particular disk. A host that has lost its disk
-/// joins under a new id, so that it cannot pass for what it was.
+/// Identifies a control host together with its disk. A host that has lost its
+/// disk joins under a new id, so that votes and entries acknowledged by the old
+/// disk are not attributed to the new one.
 using member_id = strong_type<struct member_id_tag, std::string>;
 using term_number = strong_type<struct term_number_tag, std::uint64_t>;
 /// Position in the log, counted from 1.
@@ -20,18 +21,18 @@
 inline log_index operator+(log_index index, std::uint64_t count) {
   return log_index(index.value() + count);
 }
-/// The position before; 0 has none before it.
-inline log_index Before(log_index index) {
+/// The preceding index; 0 maps to itself.
+inline log_index PreviousIndex(log_index index) {
   return log_index(index.value() == 0 ? 0 : index.value() - 1);
 }
 
 struct member {
   member_id id;
-  /// Where other daemons open links.
+  /// Address that other daemons connect to.
   endpoint links;
-  /// Where operators and targets call.
+  /// Address that serves operators and targets.
   endpoint commands;
-  /// False while it only receives the log.
+  /// False for a learner, which receives the log but has no vote.
   bool voter = false;
 
   friend bool operator==(const member&, const member&) = default;
@@ -40,8 +41,8 @@
 using membership = std::vector<member>;
 
 enum class entry_kind {
-  /// Written by a new leader, so that it can commit what came before.
-  kNothing,
+  /// Appended by a new leader so that it can commit entries of earlier terms.
+  kNoOp,
   kCommand,
   kMembership,
 };
@@ -49,21 +50,21 @@
 struct log_entry {
   log_index index;
   term_number term;
-  entry_kind kind = entry_kind::kNothing;
-  /// Of a command, as the owner encoded it.
+  entry_kind kind = entry_kind::kNoOp;
+  /// Payload of a command entry, opaque to the log.
   std::string command;
-  /// Of a membership entry: the whole list.
+  /// Complete member list of a membership entry.
   membership members;
 
   friend bool operator==(const log_entry&, const log_entry&) = default;
 };
 
-/// The state after all entries up to `last_index`.
+/// The state after applying all entries up to `last_index`.
 struct snapshot {
   log_index last_index;
   term_number last_term;
   membership members;
-  /// As the owner encoded it.
+  /// Encoded state of the owner, opaque to the log.
   std::string state;
 
   friend bool operator==(const snapshot&, const snapshot&) = default;
--- a/src/quorum/types/quorum_message.h
+++ b/src/quorum/types/quorum_message.h
@@ -1,4 +1,4 @@
-// Messages between members.
+// Messages exchanged between members of the replicated log.
 #pragma once
 
 #include <cstdint>
@@ -13,46 +13,48 @@
   term_number term;
   log_index last_index;
   term_number last_term;
-  /// Asks only whether a vote would be given (pre-vote); `term` is the one that
-  /// the sender would campaign in.
-  bool trial = false;
+  /// Pre-vote: asks whether a vote would be granted; `term` is the term in
+  /// which the sender would start an election.
+  bool pre_vote = false;
 };
 
 struct vote_response {
   term_number term;
   bool granted = false;
-  bool trial = false;
+  bool pre_vote = false;
 };
 
-/// Entries to append, or a heartbeat if there are none.
+/// Entries to append; without entries, a heartbeat.
 struct append_request {
   term_number term;
   log_index previous_index;
   term_number previous_term;
   std::vector<log_entry> entries;
   log_index commit;
-  /// Echoed by the answer, so that the leader knows how recent it is.
+  /// Echoed in the response, so that the leader can tell how recent it is.
   std::uint64_t round = 0;
 };
 
 struct append_response {
   term_number term;
   bool accepted = false;
-  /// If accepted, what the sender has on disk; otherwise where to try next.
+  /// If accepted, the last matching index that the sender has on disk;
+  /// otherwise a hint at which index the leader should try next.
   log_index match;
   std::uint64_t round = 0;
 };
 
-/// Replaces a log that lacks entries that the leader no longer has.
+/// Installs a snapshot on a member that lacks entries which the leader has
+/// already compacted.
 struct snapshot_request {
   term_number term;
   snapshot contents;
   std::uint64_t round = 0;
 };
 
-/// Asks the leader to add the sender as a member without a vote.
+/// Asks the leader to add the sender as a non-voting member (learner).
 struct join_request {
-  member joiner;
+  member new_member;
 };
 
 using quorum_message = std::variant<vote_request,
--- a/src/quorum/types/storage_record.h
+++ b/src/quorum/types/storage_record.h
@@ -1,4 +1,4 @@
-// What a member must have on disk.
+// Persistent state of a member and the records that change it.
 #pragma once
 
 #include <variant>
@@ -8,11 +8,11 @@
 
 namespace burdocklock::quorum {
 
-/// Everything that survives a restart.
+/// The state that a member recovers after a restart.
 struct durable_state {
   member_id self;
   term_number term;
-  /// Empty if no vote was given in `term`.
+  /// The member voted for in `term`; empty if none.
   member_id vote;
   snapshot base;
   /// Entries after `base`, without gaps.
@@ -30,7 +30,7 @@
   log_entry entry;
 };
 
-/// Entries from `first` on are void.
+/// Discards the entries from `first` on.
 struct truncate_record {
   log_index first;
 };
@@ -43,7 +43,7 @@
 using storage_record =
     std::variant<vote_record, append_record, truncate_record, rewrite_record>;
 
-/// Applies one record to the state that the earlier ones have built.
+/// Applies a record to the state built from the preceding records.
 void Apply(const storage_record& record, durable_state& state);
 
 }  // namespace burdocklock::quorum
