--- a/src/storage/internal/log_file.cc
+++ b/src/storage/internal/log_file.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "storage/log_file.h"
 
 #include <cerrno>
@@ -45,16 +44,16 @@
 }
 
 bool ReadAll(int file, std::string& bytes) {
-  std::string piece(kReadBytes, '\0');
+  std::string buffer(kReadBytes, '\0');
   while (true) {
-    const ssize_t count = ::read(file, piece.data(), piece.size());
+    const ssize_t count = ::read(file, buffer.data(), buffer.size());
     if (count < 0 && errno == EINTR) {
       continue;
     }
     if (count <= 0) {
       return count == 0;
     }
-    bytes.append(piece, 0, static_cast<std::size_t>(count));
+    bytes.append(buffer, 0, static_cast<std::size_t>(count));
   }
 }
 
@@ -69,7 +68,7 @@
   }
 }
 
-error log_file::Failure(const char* step) const {
+error log_file::SystemError(const char* step) const {
   return {.code = error_code::kUnreadable,
           .step = step,
           .peer = path_,
@@ -83,11 +82,11 @@
     if (errno == ENOENT) {
       return state;
     }
-    return Failure("open log");
+    return SystemError("open log");
   }
   std::string bytes;
   if (!ReadAll(file_, bytes)) {
-    return Failure("read log");
+    return SystemError("read log");
   }
   const auto scanned = ScanFrames(bytes);
   if (!scanned) {
@@ -105,8 +104,8 @@
   }
   synced_ = scanned.value().sound_bytes;
   if (synced_ < bytes.size()) {
-    if (auto cut = Cut(synced_); !cut) {
-      return cut.error();
+    if (auto truncated = Truncate(synced_); !truncated) {
+      return truncated.error();
     }
   }
   return state;
@@ -118,7 +117,7 @@
   }
   synced_ = 0;
   if (::rename(path_.c_str(), (path_ + kDamagedSuffix).c_str()) != 0) {
-    return Failure("set damaged log aside");
+    return SystemError("rename damaged log");
   }
   return SyncFolder();
 }
@@ -129,7 +128,7 @@
   bool rewritten = false;
   for (const quorum::storage_record& record : records) {
     if (std::holds_alternative<quorum::rewrite_record>(record)) {
-      // Whatever came before it is replaced.
+      // A rewrite record replaces all records before it.
       bytes.clear();
       rewritten = true;
     }
@@ -143,15 +142,15 @@
     return error{.code = error_code::kInternal,
                  .step = "append to log",
                  .peer = path_,
-                 .detail = "the log has no beginning"};
+                 .detail = "the log has no rewrite record to append to"};
   }
   if (!WriteAll(file_, bytes, synced_) || ::fdatasync(file_) != 0) {
-    const error failure = Failure("append to log");
-    if (auto cut = Cut(synced_); !cut) {
+    const error failure = SystemError("append to log");
+    if (auto truncated = Truncate(synced_); !truncated) {
       return error{.code = failure.code,
                    .step = failure.step,
                    .peer = failure.peer,
-                   .detail = failure.detail + "; " + cut.error().detail};
+                   .detail = failure.detail + "; " + truncated.error().detail};
     }
     return failure;
   }
@@ -164,13 +163,14 @@
   const int file =
       ::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, kFileMode);
   if (file < 0) {
-    return Failure("create log");
+    return SystemError("create log");
   }
   if (!WriteAll(file, bytes, 0) || ::fsync(file) != 0 ||
       ::rename(path.c_str(), path_.c_str()) != 0) {
-    const error failure = Failure("rewrite log");
+    const error failure = SystemError("rewrite log");
     ::close(file);
-    // Room that a full disk needs; a later rewrite makes it anew.
+    // Free the space in case the disk is full; the next rewrite creates the
+    // file again.
     ::unlink(path.c_str());
     return failure;
   }
@@ -185,18 +185,18 @@
 result<void> log_file::SyncFolder() {
   const int folder = ::open(folder_.c_str(), O_RDONLY | O_DIRECTORY);
   if (folder < 0) {
-    return Failure("open folder");
+    return SystemError("open folder");
   }
   const bool synced = ::fsync(folder) == 0;
-  const error failure = Failure("sync folder");
+  const error failure = SystemError("sync folder");
   ::close(folder);
   return synced ? Ok() : result<void>(failure);
 }
 
-result<void> log_file::Cut(std::uint64_t length) {
+result<void> log_file::Truncate(std::uint64_t length) {
   if (::ftruncate(file_, static_cast<off_t>(length)) != 0 ||
       ::fdatasync(file_) != 0) {
-    return Failure("cut log");
+    return SystemError("truncate log");
   }
   return Ok();
 }
--- a/src/storage/internal/log_frames.cc
+++ b/src/storage/internal/log_frames.cc
@@ -1,5 +1,6 @@
-// See the header. A frame is: magic, payload length, checksum, synced length,
-// payload; numbers in little-endian order.
+// Frame layout: magic, payload length, checksum, synced length, payload.
+// Numbers are little-endian; the checksum is a CRC-32 over synced length and
+// payload.
 #include "storage/log_frames.h"
 
 #include <optional>
@@ -11,9 +12,9 @@
 namespace {
 
 constexpr std::string_view kMagic = "blq1";
-constexpr std::size_t kLengthAt = 4;
-constexpr std::size_t kChecksumAt = 8;
-constexpr std::size_t kSyncedAt = 12;
+constexpr std::size_t kLengthOffset = 4;
+constexpr std::size_t kChecksumOffset = 8;
+constexpr std::size_t kSyncedOffset = 12;
 constexpr std::size_t kHeaderBytes = 20;
 
 template <typename T>
@@ -49,14 +50,14 @@
   if (bytes.size() < kHeaderBytes || !bytes.starts_with(kMagic)) {
     return std::nullopt;
   }
-  const auto length = ReadNumber<std::uint32_t>(bytes.substr(kLengthAt));
+  const auto length = ReadNumber<std::uint32_t>(bytes.substr(kLengthOffset));
   if (bytes.size() - kHeaderBytes < length) {
     return std::nullopt;
   }
   const std::string_view payload = bytes.substr(kHeaderBytes, length);
   const std::string_view synced =
-      bytes.substr(kSyncedAt, kHeaderBytes - kSyncedAt);
-  if (ReadNumber<std::uint32_t>(bytes.substr(kChecksumAt)) !=
+      bytes.substr(kSyncedOffset, kHeaderBytes - kSyncedOffset);
+  if (ReadNumber<std::uint32_t>(bytes.substr(kChecksumOffset)) !=
       Checksum(synced, payload)) {
     return std::nullopt;
   }
@@ -65,15 +66,16 @@
                .size = kHeaderBytes + length};
 }
 
-// True if a frame after `damaged` shows that this place had been synced.
+// True if a valid frame after `damaged` records a synced length beyond it,
+// which means that the damage is not a torn write.
 bool WasSynced(std::string_view bytes, std::size_t damaged) {
-  std::size_t at = bytes.find(kMagic, damaged + 1);
-  while (at != std::string_view::npos) {
-    const auto later = ReadFrame(bytes.substr(at));
+  std::size_t offset = bytes.find(kMagic, damaged + 1);
+  while (offset != std::string_view::npos) {
+    const auto later = ReadFrame(bytes.substr(offset));
     if (later && later->synced > damaged) {
       return true;
     }
-    at = bytes.find(kMagic, at + 1);
+    offset = bytes.find(kMagic, offset + 1);
   }
   return false;
 }
@@ -101,9 +103,9 @@
         return error{.code = error_code::kMalformed,
                      .step = "read log",
                      .peer = {},
-                     .detail = "damaged at byte " +
+                     .detail = "invalid frame at byte " +
                                std::to_string(scanned.sound_bytes) +
-                               ", which had been synced"};
+                               ", in a part that had been synced"};
       }
       break;
     }
--- a/src/storage/internal/log_writer.cc
+++ b/src/storage/internal/log_writer.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "storage/log_writer.h"
 
 #include <chrono>
@@ -20,18 +19,18 @@
 
 struct log_writer::state {
   void Run();
-  void WriteUntilDone(const std::vector<quorum::storage_record>& records);
-  void ReportDisk(const result<void>& written);
+  void WriteWithRetries(const std::vector<quorum::storage_record>& records);
+  void ReportDiskState(const result<void>& written);
 
   std::unique_ptr<log_file> file;
   log_writer_handlers handlers;
   std::mutex mutex;
-  std::condition_variable changed;
+  std::condition_variable condition;
   // Guarded by `mutex`.
-  std::vector<quorum::storage_record> waiting;
-  quorum::batch_number last_waiting;
+  std::vector<quorum::storage_record> pending_records;
+  quorum::batch_number last_batch;
   bool stopping = false;
-  // Used by the writer's thread only.
+  // Accessed only on the writer's thread.
   bool failing = false;
   std::thread thread;
 };
@@ -49,7 +48,7 @@
     const std::lock_guard lock(state_->mutex);
     state_->stopping = true;
   }
-  state_->changed.notify_all();
+  state_->condition.notify_all();
   state_->thread.join();
 }
 
@@ -58,24 +57,25 @@
   {
     const std::lock_guard lock(state_->mutex);
     std::move(records.begin(), records.end(),
-              std::back_inserter(state_->waiting));
-    state_->last_waiting = batch;
+              std::back_inserter(state_->pending_records));
+    state_->last_batch = batch;
   }
-  state_->changed.notify_all();
+  state_->condition.notify_all();
 }
 
 void log_writer::state::Run() {
   std::unique_lock lock(mutex);
   while (true) {
-    changed.wait(lock, [this] { return stopping || !waiting.empty(); });
+    condition.wait(lock,
+                   [this] { return stopping || !pending_records.empty(); });
     if (stopping) {
       return;
     }
     const std::vector<quorum::storage_record> records =
-        std::exchange(waiting, {});
-    const quorum::batch_number batch = last_waiting;
+        std::exchange(pending_records, {});
+    const quorum::batch_number batch = last_batch;
     lock.unlock();
-    WriteUntilDone(records);
+    WriteWithRetries(records);
     lock.lock();
     if (stopping) {
       return;
@@ -86,22 +86,22 @@
   }
 }
 
-void log_writer::state::WriteUntilDone(
+void log_writer::state::WriteWithRetries(
     const std::vector<quorum::storage_record>& records) {
   while (true) {
     const result<void> written = file->Write(records);
-    ReportDisk(written);
+    ReportDiskState(written);
     if (written) {
       return;
     }
     std::unique_lock lock(mutex);
-    if (changed.wait_for(lock, kRetryDelay, [this] { return stopping; })) {
+    if (condition.wait_for(lock, kRetryDelay, [this] { return stopping; })) {
       return;
     }
   }
 }
 
-void log_writer::state::ReportDisk(const result<void>& written) {
+void log_writer::state::ReportDiskState(const result<void>& written) {
   const bool fails = !written.has_value();
   if (fails != failing) {
     failing = fails;
--- a/src/storage/log_file.h
+++ b/src/storage/log_file.h
@@ -1,4 +1,4 @@
-// The file that holds a member's part of the replicated log.
+// The file that persists a member's replicated log.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +11,10 @@
 
 namespace burdocklock::storage {
 
-/// All members block on the disk.
+/// All operations block on the disk.
 ///
-/// Invariant: the file begins with a rewrite record; what `Write` has reported
-/// as done survives a loss of power.
+/// Invariant: the file begins with a rewrite record; records for which `Write`
+/// has returned success survive a power loss.
 class log_file {
  public:
   explicit log_file(std::string folder);
@@ -22,26 +22,27 @@
   log_file(const log_file&) = delete;
   log_file& operator=(const log_file&) = delete;
 
-  /// Reads what the folder holds; nullopt if there is nothing. Cuts a tail that
-  /// was torn. Fails with kMalformed if the file is damaged otherwise.
+  /// Recovers the state from the folder; nullopt if there is no log file.
+  /// Truncates a tail torn by a power loss. Fails with kMalformed if the file
+  /// is damaged elsewhere.
   result<std::optional<quorum::durable_state>> Open();
-  /// Puts a damaged file aside, so that `Open` finds nothing.
+  /// Renames a damaged file, so that `Open` finds no log.
   result<void> SetAside();
-  /// Writes and syncs records. After a failure nothing of them counts and the
-  /// call may be repeated.
+  /// Writes and syncs records. After a failure none of them counts as written,
+  /// and the call may be repeated.
   result<void> Write(const std::vector<quorum::storage_record>& records);
 
  private:
   result<void> Append(const std::string& bytes);
   result<void> Rewrite(const std::string& bytes);
   result<void> SyncFolder();
-  result<void> Cut(std::uint64_t length);
-  [[nodiscard]] error Failure(const char* step) const;
+  result<void> Truncate(std::uint64_t length);
+  [[nodiscard]] error SystemError(const char* step) const;
 
   std::string folder_;
   std::string path_;
   int file_ = -1;
-  /// Length of the part that is on disk.
+  /// Length of the part of the file that is known to be on disk.
   std::uint64_t synced_ = 0;
 };
 
--- a/src/storage/log_frames.h
+++ b/src/storage/log_frames.h
@@ -1,4 +1,4 @@
-// Frames of the log file: a record with a checksum.
+// Framing of the log file: each record is stored with a checksum.
 #pragma once
 
 #include <cstddef>
@@ -11,20 +11,21 @@
 
 namespace burdocklock::storage {
 
-/// Appends a frame to `out`. `synced` is the length of the file that was on
-/// disk when the frame was written.
+/// Appends a frame to `out`. `synced` is the length of the file that was synced
+/// when the frame was written.
 void AppendFrame(std::string_view payload,
                  std::uint64_t synced,
                  std::string& out);
 
 struct scanned_frames {
   std::vector<std::string_view> payloads;
-  /// Length of the sound part; what follows was torn by a loss of power.
+  /// Length of the valid part; the rest was torn by a power loss.
   std::size_t sound_bytes = 0;
 };
 
-/// Reads all frames of a file. A tail that was never synced may be damaged and
-/// is left out; fails if damage lies in a part that had been synced.
+/// Reads all frames of a file. A damaged tail that was never synced is left
+/// out; fails with kMalformed if the damage lies in a part that had been
+/// synced.
 result<scanned_frames> ScanFrames(std::string_view bytes);
 
 }  // namespace burdocklock::storage
--- a/src/storage/log_writer.h
+++ b/src/storage/log_writer.h
@@ -1,5 +1,5 @@
-// Writes the log on a thread of its own, so that a slow disk holds up nothing
-// else.
+// Writes the log on a separate thread, so that a slow disk does not block the
+// caller.
 #pragma once
 
 #include <functional>
@@ -14,19 +14,19 @@
 namespace burdocklock::storage {
 
 struct log_writer_handlers {
-  /// All batches up to this one are on disk. Called on the writer's thread.
+  /// All batches up to `batch` are on disk. Called on the writer's thread.
   std::function<void(quorum::batch_number batch)> on_durable;
-  /// The disk has begun to fail, or works again (no error). Called on the
-  /// writer's thread.
+  /// Writes have started to fail, or succeed again (no error). Called on the
+  /// writer's thread when this changes.
   std::function<void(const result<void>& state)> on_disk_state;
 };
 
-/// Batches that wait are written with one sync. A batch that fails is repeated
-/// until it succeeds or the writer ends.
+/// Group commit: all queued batches are written with one sync. A failed write
+/// is retried until it succeeds or the writer is destroyed.
 class log_writer {
  public:
   log_writer(std::unique_ptr<log_file> file, log_writer_handlers handlers);
-  /// Ends after the write in progress; what waits is not written.
+  /// Waits for the write in progress; queued batches are not written.
   ~log_writer();
 
   void Submit(quorum::batch_number batch,
--- a/src/storage/tests/storage_unittest.cc
+++ b/src/storage/tests/storage_unittest.cc
@@ -1,4 +1,4 @@
-// The log file under damage and losses of power.
+// Tests of log recovery after damage and power loss.
 #include <filesystem>
 #include <fstream>
 #include <iterator>
@@ -47,14 +47,14 @@
   ~folder_fixture() { std::filesystem::remove_all(folder); }
 
   std::filesystem::path Path() const { return folder / "quorum.log"; }
-  std::string Bytes() const {
+  std::string ReadFile() const {
     std::ifstream in(Path(), std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  void SetBytes(const std::string& bytes) const {
+  void OverwriteFile(const std::string& bytes) const {
     std::ofstream(Path(), std::ios::binary | std::ios::trunc) << bytes;
   }
-  durable_state Begin(log_file& file) const {
+  durable_state WriteInitialState(log_file& file) const {
     REQUIRE(file.Open().has_value());
     durable_state state{.self = member_id("a#0"), .term = term_number(1)};
     state.base = {.last_index = log_index(1),
@@ -66,18 +66,19 @@
   }
 };
 
-TEST_CASE_METHOD(folder_fixture, "log file: empty folder: holds nothing") {
+TEST_CASE_METHOD(folder_fixture, "log file: empty folder: no state") {
   log_file file(folder.string());
   const auto opened = file.Open();
   REQUIRE(opened.has_value());
   CHECK_FALSE(opened.value().has_value());
 }
 
-TEST_CASE_METHOD(folder_fixture, "log file: reopened: holds what was written") {
+TEST_CASE_METHOD(folder_fixture,
+                 "log file: reopened: recovers the written records") {
   durable_state expected;
   {
     log_file file(folder.string());
-    expected = Begin(file);
+    expected = WriteInitialState(file);
     const std::vector<storage_record> records = {
         vote_record{term_number(2), member_id("b#0")},
         append_record{Command(2, "x")}, append_record{Command(3, "y")},
@@ -87,52 +88,52 @@
       Apply(record, expected);
     }
   }
-  log_file again(folder.string());
-  const auto opened = again.Open();
+  log_file reopened(folder.string());
+  const auto opened = reopened.Open();
   REQUIRE(opened.has_value());
   CHECK(opened.value() == expected);
 }
 
-TEST_CASE_METHOD(folder_fixture, "log file: torn tail: cut, rest kept") {
+TEST_CASE_METHOD(folder_fixture, "log file: torn tail: truncated, rest kept") {
   {
     log_file file(folder.string());
-    Begin(file);
+    WriteInitialState(file);
     REQUIRE(file.Write({append_record{Command(2, "kept")}}).has_value());
   }
-  const std::string sound = Bytes();
+  const std::string valid_bytes = ReadFile();
   std::string next;
   AppendFrame(quorum::EncodeRecord(append_record{Command(3, "torn")}),
-              sound.size(), next);
-  for (std::size_t torn = 1; torn < next.size(); ++torn) {
-    CAPTURE(torn);
-    SetBytes(sound + next.substr(0, torn));
-    log_file again(folder.string());
-    const auto opened = again.Open();
+              valid_bytes.size(), next);
+  for (std::size_t torn_bytes = 1; torn_bytes < next.size(); ++torn_bytes) {
+    CAPTURE(torn_bytes);
+    OverwriteFile(valid_bytes + next.substr(0, torn_bytes));
+    log_file reopened(folder.string());
+    const auto opened = reopened.Open();
     REQUIRE(opened.has_value());
     REQUIRE(opened.value()->entries.size() == 1);
     REQUIRE(opened.value()->entries[0].command == "kept");
-    REQUIRE(Bytes() == sound);
-    REQUIRE(again.Write({append_record{Command(3, "new")}}).has_value());
+    REQUIRE(ReadFile() == valid_bytes);
+    REQUIRE(reopened.Write({append_record{Command(3, "new")}}).has_value());
   }
 }
 
 TEST_CASE_METHOD(folder_fixture,
-                 "log file: any byte of a synced part changed: refused") {
+                 "log file: any byte of the synced part changed: rejected") {
   {
     log_file file(folder.string());
-    Begin(file);
+    WriteInitialState(file);
     REQUIRE(file.Write({append_record{Command(2, "a")}}).has_value());
     REQUIRE(file.Write({append_record{Command(3, "b")}}).has_value());
   }
-  const std::string sound = Bytes();
-  const auto scanned = ScanFrames(sound);
+  const std::string valid_bytes = ReadFile();
+  const auto scanned = ScanFrames(valid_bytes);
   REQUIRE(scanned.has_value());
-  // The last frame names the length that was synced before it.
+  // The last frame records the length that was synced before it.
   std::string last;
   AppendFrame(scanned.value().payloads.back(), 0, last);
-  const std::size_t synced = sound.size() - last.size();
+  const std::size_t synced = valid_bytes.size() - last.size();
   for (std::size_t at = 0; at < synced; ++at) {
-    std::string damaged = sound;
+    std::string damaged = valid_bytes;
     damaged[at] = static_cast<char>(damaged[at] ^ 0x20);
     CAPTURE(at);
     REQUIRE_FALSE(ScanFrames(damaged).has_value());
@@ -140,30 +141,30 @@
 }
 
 TEST_CASE_METHOD(folder_fixture,
-                 "log file: damaged and set aside: holds nothing") {
-  SetBytes("not a log");
+                 "log file: damaged file renamed: no log left") {
+  OverwriteFile("not a log");
   log_file file(folder.string());
   REQUIRE(file.Open().has_value());
   REQUIRE(file.SetAside().has_value());
   CHECK_FALSE(std::filesystem::exists(Path()));
 }
 
-TEST_CASE("frames: arbitrary bytes: never crash") {
+TEST_CASE("frames: arbitrary bytes: no crash") {
   rc::prop("scan", [](const std::string& bytes) {
     const auto scanned = ScanFrames(bytes);
     RC_ASSERT(!scanned || scanned.value().sound_bytes <= bytes.size());
   });
 }
 
-TEST_CASE("records: arbitrary bytes: refused or read, never crash") {
+TEST_CASE("records: arbitrary bytes: rejected or decoded, no crash") {
   rc::prop("decode", [](const std::string& bytes) {
     const auto record = quorum::DecodeRecord(bytes);
     RC_ASSERT(record.has_value() || !record.error().detail.empty());
   });
 }
 
-TEST_CASE("records: not a number where an integer is due: refused") {
-  // [NaN in 16 bits, 1], as a fuzzer found it.
+TEST_CASE("records: NaN in place of an integer: rejected") {
+  // [half-precision NaN, 1]; found by a fuzzer.
   CHECK_FALSE(quorum::DecodeRecord("\x82\xf9\xfc\x83\x01").has_value());
 }
 
