--- a/src/app/internal/control_host.cc
+++ b/src/app/internal/control_host.cc
@@ -157,7 +157,7 @@
   return {.daemon = settings.daemon,
           .seeds = settings.control.hosts,
           .data_centres = settings.control.data_centres,
-          .raft = {.links = settings.peer_listener,
+          .raft = {.peer_endpoint = settings.peer_listener,
                    .commands = settings.commands,
                    .tolerated_losses = settings.control.tolerated_disk_losses}};
 }
--- a/src/app/internal/control_log.cc
+++ b/src/app/internal/control_log.cc
@@ -42,7 +42,7 @@
   for (const endpoint& host : sorted) {
     fresh.base.members.push_back(
         {.id = FirstId(host),
-         .links = host,
+         .peer_endpoint = host,
          .commands = {.address = host.address, .port = settings.commands.port},
          .voter = true});
   }
--- a/src/app/internal/control_report.cc
+++ b/src/app/internal/control_report.cc
@@ -39,7 +39,7 @@
   ordered_json list = ordered_json::array();
   for (const quorum::member& member : node.raft().members()) {
     list.push_back({{"member", member.id.value()},
-                    {"links", ToString(member.links)},
+                    {"links", ToString(member.peer_endpoint)},
                     {"voter", member.voter}});
   }
   return ordered_json{{"members", list}}.dump();
--- a/src/control/internal/control_news.cc
+++ b/src/control/internal/control_news.cc
@@ -79,7 +79,7 @@
                       .current = raft_.IsCurrent(now_),
                       .leads = raft_.role() == raft_role::kLeader};
   for (const quorum::member& member : raft_.members()) {
-    update.control_hosts.push_back(member.links);
+    update.control_hosts.push_back(member.peer_endpoint);
   }
   for (const auto& [daemon, heard] : routers_) {
     update.routers.push_back(daemon);
--- a/src/control/internal/control_node.cc
+++ b/src/control/internal/control_node.cc
@@ -254,9 +254,9 @@
 void control_node::SetWantedLinks() {
   std::set<endpoint> wanted(options_.seeds.begin(), options_.seeds.end());
   for (const quorum::member& member : raft_.members()) {
-    wanted.insert(member.links);
+    wanted.insert(member.peer_endpoint);
   }
-  wanted.erase(options_.raft.links);
+  wanted.erase(options_.raft.peer_endpoint);
   links_.SetWanted(wanted, now_);
 }
 
@@ -265,7 +265,7 @@
   const quorum_envelope envelope{
       .from = raft_.self(), .to = message.to, .contents = message.message};
   if (to != nullptr) {
-    if (const auto link = links_.To(to->links)) {
+    if (const auto link = links_.To(to->peer_endpoint)) {
       link_port_.Send(*link, envelope);
       return;
     }
--- a/src/control/tests/control_fixture.h
+++ b/src/control/tests/control_fixture.h
@@ -156,7 +156,7 @@
     quorum::membership first;
     for (std::size_t i = 0; i < kHosts; ++i) {
       first.push_back({.id = quorum::member_id("h" + std::to_string(i)),
-                       .links = LinkOf(i),
+                       .peer_endpoint = LinkOf(i),
                        .commands = CommandsOf(i),
                        .voter = true});
     }
@@ -189,7 +189,7 @@
             .daemon = daemon_id("c" + std::to_string(i)),
             .seeds = Seeds(),
             .data_centres = {data_centre_id("cheras")},
-            .raft = {.links = LinkOf(i), .commands = CommandsOf(i)}},
+            .raft = {.peer_endpoint = LinkOf(i), .commands = CommandsOf(i)}},
         ports[i]->disk, random, *links[i], *ports[i], network.now);
   }
   void StartRouter(std::size_t i) {
--- a/src/quorum/internal/membership_changes.cc
+++ b/src/quorum/internal/membership_changes.cc
@@ -82,7 +82,8 @@
     // A host that has lost its disk returns with a new id and the same address.
     const bool replaced =
         std::any_of(members.begin(), members.end(), [&](const member& other) {
-          return other.id != inspected.id && other.links == inspected.links &&
+          return other.id != inspected.id &&
+                 other.peer_endpoint == inspected.peer_endpoint &&
                  IsResponsive(other.id, now) &&
                  (other.voter || !inspected.voter);
         });
--- a/src/quorum/internal/quorum_codec.cc
+++ b/src/quorum/internal/quorum_codec.cc
@@ -15,11 +15,11 @@
 using nlohmann::json;
 
 void to_json(json& j, const member& m) {
-  j = json::array({m.id, m.links, m.commands, m.voter});
+  j = json::array({m.id, m.peer_endpoint, m.commands, m.voter});
 }
 void from_json(const json& j, member& m) {
   j.at(0).get_to(m.id);
-  j.at(1).get_to(m.links);
+  j.at(1).get_to(m.peer_endpoint);
   j.at(2).get_to(m.commands);
   j.at(3).get_to(m.voter);
 }
--- a/src/quorum/internal/raft_node.cc
+++ b/src/quorum/internal/raft_node.cc
@@ -143,7 +143,7 @@
 
 member raft_node::Description() const {
   return {.id = self_,
-          .links = options_.links,
+          .peer_endpoint = options_.peer_endpoint,
           .commands = options_.commands,
           .voter = IsVoter(self_)};
 }
--- a/src/quorum/raft_node.h
+++ b/src/quorum/raft_node.h
@@ -22,7 +22,7 @@
 struct raft_options {
   /// Addresses of this host as announced to other members; its id comes from
   /// the durable state.
-  endpoint links;
+  endpoint peer_endpoint;
   endpoint commands;
   duration heartbeat_interval = std::chrono::milliseconds(150);
   /// A follower that hears no leader starts an election after a random time
--- a/src/quorum/tests/fake_cluster.h
+++ b/src/quorum/tests/fake_cluster.h
@@ -22,7 +22,8 @@
       : random_(seed) {
     membership first;
     for (std::size_t i = 0; i < voters; ++i) {
-      first.push_back({.id = IdOf(i, 0), .links = LinkOf(i), .voter = true});
+      first.push_back(
+          {.id = IdOf(i, 0), .peer_endpoint = LinkOf(i), .voter = true});
     }
     for (std::size_t i = 0; i < hosts; ++i) {
       hosts_.emplace_back();
@@ -76,7 +77,7 @@
   void Start(std::size_t host) {
     fake_host& h = hosts_[host];
     raft_options options;
-    options.links = LinkOf(host);
+    options.peer_endpoint = LinkOf(host);
     h.node = std::make_unique<raft_node>(options, h.disk, random_, now);
     h.next_join_request = now;
     ProcessOutput(host);
--- a/src/quorum/types/log_entry.h
+++ b/src/quorum/types/log_entry.h
@@ -29,7 +29,7 @@
 struct member {
   member_id id;
   /// Address that other daemons connect to.
-  endpoint links;
+  endpoint peer_endpoint;
   /// Address that serves operators and targets.
   endpoint commands;
   /// False for a learner, which receives the log but has no vote.
