--- a/src/app/internal/control_host.cc
+++ b/src/app/internal/control_host.cc
@@ -158,7 +158,7 @@
           .seeds = settings.control.hosts,
           .data_centres = settings.control.data_centres,
           .raft = {.peer_endpoint = settings.peer_listener,
-                   .commands = settings.commands,
+                   .command_endpoint = settings.commands,
                    .tolerated_losses = settings.control.tolerated_disk_losses}};
 }
 
--- a/src/app/internal/control_log.cc
+++ b/src/app/internal/control_log.cc
@@ -43,7 +43,8 @@
     fresh.base.members.push_back(
         {.id = FirstId(host),
          .peer_endpoint = host,
-         .commands = {.address = host.address, .port = settings.commands.port},
+         .command_endpoint = {.address = host.address,
+                              .port = settings.commands.port},
          .voter = true});
   }
   return fresh;
--- a/src/control/internal/control_commands.cc
+++ b/src/control/internal/control_commands.cc
@@ -10,7 +10,7 @@
   command_outcome outcome{.status = command_status::kNotLeader};
   const quorum::member* leader = raft_.FindMember(raft_.leader());
   if (leader != nullptr && leader->id != raft_.self()) {
-    outcome.leader = leader->commands;
+    outcome.leader = leader->command_endpoint;
   }
   return outcome;
 }
--- a/src/control/tests/control_fixture.h
+++ b/src/control/tests/control_fixture.h
@@ -157,7 +157,7 @@
     for (std::size_t i = 0; i < kHosts; ++i) {
       first.push_back({.id = quorum::member_id("h" + std::to_string(i)),
                        .peer_endpoint = LinkOf(i),
-                       .commands = CommandsOf(i),
+                       .command_endpoint = CommandsOf(i),
                        .voter = true});
     }
     for (std::size_t i = 0; i < kHosts + kRouters; ++i) {
@@ -185,11 +185,11 @@
   }
   void StartHost(std::size_t i) {
     hosts[i] = std::make_unique<control_node>(
-        control_options{
-            .daemon = daemon_id("c" + std::to_string(i)),
-            .seeds = Seeds(),
-            .data_centres = {data_centre_id("cheras")},
-            .raft = {.peer_endpoint = LinkOf(i), .commands = CommandsOf(i)}},
+        control_options{.daemon = daemon_id("c" + std::to_string(i)),
+                        .seeds = Seeds(),
+                        .data_centres = {data_centre_id("cheras")},
+                        .raft = {.peer_endpoint = LinkOf(i),
+                                 .command_endpoint = CommandsOf(i)}},
         ports[i]->disk, random, *links[i], *ports[i], network.now);
   }
   void StartRouter(std::size_t i) {
--- a/src/quorum/internal/quorum_codec.cc
+++ b/src/quorum/internal/quorum_codec.cc
@@ -15,12 +15,12 @@
 using nlohmann::json;
 
 void to_json(json& j, const member& m) {
-  j = json::array({m.id, m.peer_endpoint, m.commands, m.voter});
+  j = json::array({m.id, m.peer_endpoint, m.command_endpoint, m.voter});
 }
 void from_json(const json& j, member& m) {
   j.at(0).get_to(m.id);
   j.at(1).get_to(m.peer_endpoint);
-  j.at(2).get_to(m.commands);
+  j.at(2).get_to(m.command_endpoint);
   j.at(3).get_to(m.voter);
 }
 
--- a/src/quorum/internal/raft_node.cc
+++ b/src/quorum/internal/raft_node.cc
@@ -144,7 +144,7 @@
 member raft_node::Description() const {
   return {.id = self_,
           .peer_endpoint = options_.peer_endpoint,
-          .commands = options_.commands,
+          .command_endpoint = options_.command_endpoint,
           .voter = IsVoter(self_)};
 }
 
--- a/src/quorum/raft_node.h
+++ b/src/quorum/raft_node.h
@@ -23,7 +23,7 @@
   /// Addresses of this host as announced to other members; its id comes from
   /// the durable state.
   endpoint peer_endpoint;
-  endpoint commands;
+  endpoint command_endpoint;
   duration heartbeat_interval = std::chrono::milliseconds(150);
   /// A follower that hears no leader starts an election after a random time
   /// between these two; a leader that hears no quorum steps down after the
--- a/src/quorum/types/log_entry.h
+++ b/src/quorum/types/log_entry.h
@@ -31,7 +31,7 @@
   /// Address that other daemons connect to.
   endpoint peer_endpoint;
   /// Address that serves operators and targets.
-  endpoint commands;
+  endpoint command_endpoint;
   /// False for a learner, which receives the log but has no vote.
   bool voter = false;
 
