--- a/src/control/internal/control_commands.cc
+++ b/src/control/internal/control_commands.cc
@@ -85,7 +85,7 @@
       continue;
     }
     const auto node = reads_.extract(found);
-    if (read.sure) {
+    if (read.confirmed) {
       node.mapped().done({.status = command_status::kDone,
                           .document = state_.contents().document});
     } else {
--- a/src/quorum/internal/replication.cc
+++ b/src/quorum/internal/replication.cc
@@ -274,14 +274,14 @@
     if (acknowledgements < Majority() || commit_index_ < read.index) {
       return false;
     }
-    output_.reads.push_back({.id = read.id, .sure = true});
+    output_.reads.push_back({.id = read.id, .confirmed = true});
     return true;
   });
 }
 
 void raft_node::FailReads() {
   for (const pending_read& read : std::exchange(reads_, {})) {
-    output_.reads.push_back({.id = read.id, .sure = false});
+    output_.reads.push_back({.id = read.id, .confirmed = false});
   }
 }
 
--- a/src/quorum/raft_node.h
+++ b/src/quorum/raft_node.h
@@ -67,7 +67,7 @@
   read_id id;
   /// The owner's state, including everything applied before this result, was
   /// up to date when the read was requested.
-  bool sure = false;
+  bool confirmed = false;
 };
 
 struct proposal {
--- a/src/quorum/tests/fake_cluster.h
+++ b/src/quorum/tests/fake_cluster.h
@@ -255,7 +255,7 @@
       }
     }
     for (const read_result& read : output.reads) {
-      read_results[read.id.value()] = read.sure;
+      read_results[read.id.value()] = read.confirmed;
     }
     if (h.since_compaction >= kCompactEvery) {
       h.since_compaction = 0;
