--- a/src/app/internal/control_log.cc
+++ b/src/app/internal/control_log.cc
@@ -62,7 +62,7 @@
     // What is damaged must not be believed: this host starts as a new one.
     logger.Log(log_record("log_damaged", log_level::kError)
                    .Add("detail", opened.error().Message()));
-    if (auto aside = log.file->SetAside(); !aside) {
+    if (auto aside = log.file->RenameDamaged(); !aside) {
       return aside.error();
     }
     opened = std::optional<quorum::durable_state>();
--- a/src/storage/internal/log_file.cc
+++ b/src/storage/internal/log_file.cc
@@ -111,7 +111,7 @@
   return state;
 }
 
-result<void> log_file::SetAside() {
+result<void> log_file::RenameDamaged() {
   if (file_ >= 0) {
     ::close(std::exchange(file_, -1));
   }
--- a/src/storage/log_file.h
+++ b/src/storage/log_file.h
@@ -27,7 +27,7 @@
   /// is damaged elsewhere.
   result<std::optional<quorum::durable_state>> Open();
   /// Renames a damaged file, so that `Open` finds no log.
-  result<void> SetAside();
+  result<void> RenameDamaged();
   /// Writes and syncs records. After a failure none of them counts as written,
   /// and the call may be repeated.
   result<void> Write(const std::vector<quorum::storage_record>& records);
--- a/src/storage/tests/storage_unittest.cc
+++ b/src/storage/tests/storage_unittest.cc
@@ -145,7 +145,7 @@
   OverwriteFile("not a log");
   log_file file(folder.string());
   REQUIRE(file.Open().has_value());
-  REQUIRE(file.SetAside().has_value());
+  REQUIRE(file.RenameDamaged().has_value());
   CHECK_FALSE(std::filesystem::exists(Path()));
 }
 
