--- a/src/storage/internal/log_file.cc
+++ b/src/storage/internal/log_file.cc
@@ -102,7 +102,7 @@
     }
     Apply(record.value(), *state);
   }
-  synced_ = scanned.value().sound_bytes;
+  synced_ = scanned.value().valid_bytes;
   if (synced_ < bytes.size()) {
     if (auto truncated = Truncate(synced_); !truncated) {
       return truncated.error();
--- a/src/storage/internal/log_frames.cc
+++ b/src/storage/internal/log_frames.cc
@@ -96,21 +96,21 @@
 
 result<scanned_frames> ScanFrames(std::string_view bytes) {
   scanned_frames scanned;
-  while (scanned.sound_bytes < bytes.size()) {
-    const auto next = ReadFrame(bytes.substr(scanned.sound_bytes));
+  while (scanned.valid_bytes < bytes.size()) {
+    const auto next = ReadFrame(bytes.substr(scanned.valid_bytes));
     if (!next) {
-      if (WasSynced(bytes, scanned.sound_bytes)) {
+      if (WasSynced(bytes, scanned.valid_bytes)) {
         return error{.code = error_code::kMalformed,
                      .step = "read log",
                      .peer = {},
                      .detail = "invalid frame at byte " +
-                               std::to_string(scanned.sound_bytes) +
+                               std::to_string(scanned.valid_bytes) +
                                ", in a part that had been synced"};
       }
       break;
     }
     scanned.payloads.push_back(next->payload);
-    scanned.sound_bytes += next->size;
+    scanned.valid_bytes += next->size;
   }
   return scanned;
 }
--- a/src/storage/log_frames.h
+++ b/src/storage/log_frames.h
@@ -20,7 +20,7 @@
 struct scanned_frames {
   std::vector<std::string_view> payloads;
   /// Length of the valid part; the rest was torn by a power loss.
-  std::size_t sound_bytes = 0;
+  std::size_t valid_bytes = 0;
 };
 
 /// Reads all frames of a file. A damaged tail that was never synced is left
--- a/src/storage/tests/storage_unittest.cc
+++ b/src/storage/tests/storage_unittest.cc
@@ -152,7 +152,7 @@
 TEST_CASE("frames: arbitrary bytes: no crash") {
   rc::prop("scan", [](const std::string& bytes) {
     const auto scanned = ScanFrames(bytes);
-    RC_ASSERT(!scanned || scanned.value().sound_bytes <= bytes.size());
+    RC_ASSERT(!scanned || scanned.value().valid_bytes <= bytes.size());
   });
 }
 
--- a/tools/fuzz/log_frames.cc
+++ b/tools/fuzz/log_frames.cc
@@ -13,10 +13,10 @@
   if (!scanned) {
     return;
   }
-  fuzz::Require(scanned.value().sound_bytes <= bytes.size(),
+  fuzz::Require(scanned.value().valid_bytes <= bytes.size(),
                 "the sound part lies within the file");
   const auto again = storage::ScanFrames(
-      std::string_view(bytes).substr(0, scanned.value().sound_bytes));
+      std::string_view(bytes).substr(0, scanned.value().valid_bytes));
   fuzz::Require(
       again.has_value() && again.value().payloads == scanned.value().payloads,
       "the sound part reads the same by itself");
