--- a/src/control/internal/control_commands.cc
+++ b/src/control/internal/control_commands.cc
@@ -10,7 +10,7 @@
   command_outcome outcome{.status = command_status::kNotLeader};
   const quorum::member* leader = raft_.FindMember(raft_.leader());
   if (leader != nullptr && leader->id != raft_.self()) {
-    outcome.leader = leader->commands;
+    outcome.leader = leader->command_endpoint;
   }
   return outcome;
 }
@@ -85,7 +85,7 @@
       continue;
     }
     const auto node = reads_.extract(found);
-    if (read.sure) {
+    if (read.confirmed) {
       node.mapped().done({.status = command_status::kDone,
                           .document = state_.contents().document});
     } else {
