--- a/src/admission/fair_share.h
+++ b/src/admission/fair_share.h
@@ -1,4 +1,4 @@
-// Max-min fairness.
+// Max-min fair division of a capacity.
 #pragma once
 
 #include <limits>
@@ -8,9 +8,8 @@
 
 inline constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
-/// The largest share such that, if everybody gets what it asks but no more than
-/// the share, the sum is at most `capacity`; kNoLimit if all can have what they
-/// ask.
-double MaxMinShare(std::vector<double> asked, double capacity);
+/// Returns the largest cap such that the demands, each limited to the cap, add
+/// up to at most `capacity`; kNoLimit if all demands fit without a cap.
+double MaxMinShare(std::vector<double> demands, double capacity);
 
 }  // namespace burdocklock::admission
--- a/src/admission/flow_meter.h
+++ b/src/admission/flow_meter.h
@@ -1,19 +1,19 @@
-// Tokens a second, over the recent past.
+// Measures the recent token rate of a flow.
 #pragma once
 
 #include "framework/types/time.h"
 
 namespace burdocklock::admission {
 
-/// Exponentially weighted.
+/// Exponentially decaying average, in tokens per second.
 class flow_meter {
  public:
   void Add(double tokens, time_point now);
   [[nodiscard]] double Rate(time_point now) const;
 
  private:
-  double weighted_ = 0;
-  time_point at_{};
+  double decayed_tokens_ = 0;
+  time_point updated_at_{};
 };
 
 }  // namespace burdocklock::admission
--- a/src/admission/internal/fair_share.cc
+++ b/src/admission/internal/fair_share.cc
@@ -6,15 +6,16 @@
 
 namespace burdocklock::admission {
 
-double MaxMinShare(std::vector<double> asked, double capacity) {
-  std::sort(asked.begin(), asked.end());
-  double left = capacity;
-  for (std::size_t i = 0; i < asked.size(); ++i) {
-    const double even = left / static_cast<double>(asked.size() - i);
-    if (asked[i] > even) {
-      return even;
+double MaxMinShare(std::vector<double> demands, double capacity) {
+  std::sort(demands.begin(), demands.end());
+  double remaining = capacity;
+  for (std::size_t i = 0; i < demands.size(); ++i) {
+    const double equal_share =
+        remaining / static_cast<double>(demands.size() - i);
+    if (demands[i] > equal_share) {
+      return equal_share;
     }
-    left -= asked[i];
+    remaining -= demands[i];
   }
   return kNoLimit;
 }
--- a/src/admission/internal/flow_meter.cc
+++ b/src/admission/internal/flow_meter.cc
@@ -7,19 +7,20 @@
 
 namespace {
 
-// What came in this long ago counts for a third.
-constexpr double kMemorySeconds = 2.0;
+// Time constant of the decay: tokens of this age count for about a third (1/e).
+constexpr double kTimeConstantSeconds = 2.0;
 
 }  // namespace
 
 void flow_meter::Add(double tokens, time_point now) {
-  weighted_ = Rate(now) * kMemorySeconds + tokens;
-  at_ = now;
+  decayed_tokens_ = Rate(now) * kTimeConstantSeconds + tokens;
+  updated_at_ = now;
 }
 
 double flow_meter::Rate(time_point now) const {
-  const double age = now > at_ ? ToSeconds(now - at_) : 0;
-  return weighted_ * std::exp(-age / kMemorySeconds) / kMemorySeconds;
+  const double age = now > updated_at_ ? ToSeconds(now - updated_at_) : 0;
+  return decayed_tokens_ * std::exp(-age / kTimeConstantSeconds) /
+         kTimeConstantSeconds;
 }
 
 }  // namespace burdocklock::admission
--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -7,22 +7,22 @@
 
 namespace {
 
-// A bucket holds what the share allows in this time, so that a short burst is
-// not held against a customer.
+// Bucket depth, as time at the refill rate. It tolerates short bursts.
 constexpr double kBucketSeconds = 1.0;
-// The pool is short if this many times what is begun is asked.
-constexpr double kShortFactor = 1.15;
-// How often the share is computed anew.
+// The pool is overloaded if demand exceeds the started work, or the known
+// capacity if larger, by this factor.
+constexpr double kOverloadFactor = 1.15;
+// Interval at which the share is recomputed while requests arrive.
 constexpr std::chrono::milliseconds kUpdatePeriod{100};
-// Flows below this many tokens a second are not worth telling.
-constexpr double kLeastFlow = 1.0;
+// Flows below this many tokens per second are not reported to other routers.
+constexpr double kMinReportedRate = 1.0;
 
 }  // namespace
 
 void share_limiter::OnAsked(const customer_id& customer,
                             double tokens,
                             time_point now) {
-  lines_[customer].asked.Add(tokens, now);
+  customers_[customer].demand.Add(tokens, now);
   if (now - updated_at_ >= kUpdatePeriod) {
     UpdateShare(now);
   }
@@ -31,32 +31,32 @@
 void share_limiter::OnBegun(const customer_id& customer,
                             double tokens,
                             time_point now) {
-  line& line = lines_[customer];
-  line.begun.Add(tokens, now);
-  Refill(line, now);
-  line.bucket -= tokens;
+  customer_state& state = customers_[customer];
+  state.started.Add(tokens, now);
+  Refill(state, now);
+  state.bucket_tokens -= tokens;
 }
 
 void share_limiter::OnReturned(const customer_id& customer,
                                double tokens,
                                time_point now) {
-  line& line = lines_[customer];
-  line.begun.Add(-tokens, now);
-  Refill(line, now);
-  line.bucket += tokens;
+  customer_state& state = customers_[customer];
+  state.started.Add(-tokens, now);
+  Refill(state, now);
+  state.bucket_tokens += tokens;
 }
 
 void share_limiter::SetOthers(const std::vector<customer_flow>& others,
                               time_point now) {
-  for (auto& [customer, line] : lines_) {
-    line.others_asked = 0;
-    line.others_begun = 0;
+  for (auto& [customer, state] : customers_) {
+    state.remote_demand = 0;
+    state.remote_started = 0;
   }
   for (const customer_flow& flow : others) {
     if (flow.pool == pool_) {
-      line& line = lines_[flow.customer];
-      line.others_asked = flow.asked;
-      line.others_begun = flow.begun;
+      customer_state& state = customers_[flow.customer];
+      state.remote_demand = flow.asked;
+      state.remote_started = flow.begun;
     }
   }
   UpdateShare(now);
@@ -64,70 +64,74 @@
 
 void share_limiter::UpdateShare(time_point now) {
   updated_at_ = now;
-  std::vector<double> asked;
-  double asked_in_all = 0;
-  double begun_in_all = 0;
-  for (auto& [customer, line] : lines_) {
-    Refill(line, now);
-    asked.push_back(line.asked.Rate(now) + line.others_asked);
-    asked_in_all += asked.back();
-    begun_in_all += line.begun.Rate(now) + line.others_begun;
+  std::vector<double> demands;
+  double total_demand = 0;
+  double total_started = 0;
+  for (auto& [customer, state] : customers_) {
+    Refill(state, now);
+    demands.push_back(state.demand.Rate(now) + state.remote_demand);
+    total_demand += demands.back();
+    total_started += state.started.Rate(now) + state.remote_started;
   }
-  const double capacity = std::max(begun_in_all, known_capacity_);
-  share_ = asked_in_all > kShortFactor * capacity
-               ? MaxMinShare(std::move(asked), capacity)
+  const double capacity = std::max(total_started, known_capacity_);
+  share_ = total_demand > kOverloadFactor * capacity
+               ? MaxMinShare(std::move(demands), capacity)
                : kNoLimit;
 }
 
-double share_limiter::LimitOf(const line& line, time_point now) const {
+double share_limiter::RefillRate(const customer_state& state,
+                                 time_point now) const {
   if (share_ == kNoLimit) {
     return kNoLimit;
   }
-  const double own = line.asked.Rate(now);
-  const double all = own + line.others_asked;
-  return all > 0 ? share_ * own / all : share_;
+  const double local_demand = state.demand.Rate(now);
+  const double total_demand = local_demand + state.remote_demand;
+  return total_demand > 0 ? share_ * local_demand / total_demand : share_;
 }
 
-void share_limiter::Refill(line& line, time_point now) {
-  const double limit = LimitOf(line, now);
-  if (limit == kNoLimit) {
-    line.bucket = 0;
-    line.filled_at = now;
+void share_limiter::Refill(customer_state& state, time_point now) {
+  const double refill_rate = RefillRate(state, now);
+  if (refill_rate == kNoLimit) {
+    state.bucket_tokens = 0;
+    state.refilled_at = now;
     return;
   }
-  const double passed =
-      line.filled_at == time_point{} ? 0 : ToSeconds(now - line.filled_at);
-  line.filled_at = now;
-  line.bucket = std::min(line.bucket + limit * passed, limit * kBucketSeconds);
+  const double elapsed_seconds = state.refilled_at == time_point{}
+                                     ? 0
+                                     : ToSeconds(now - state.refilled_at);
+  state.refilled_at = now;
+  state.bucket_tokens =
+      std::min(state.bucket_tokens + refill_rate * elapsed_seconds,
+               refill_rate * kBucketSeconds);
 }
 
 bool share_limiter::IsOver(const customer_id& customer, time_point now) {
   if (share_ == kNoLimit) {
     return false;
   }
-  line& line = lines_[customer];
-  Refill(line, now);
-  return line.bucket < 0;
+  customer_state& state = customers_[customer];
+  Refill(state, now);
+  return state.bucket_tokens < 0;
 }
 
 double share_limiter::OwnPart(time_point now) const {
-  double own = 0;
-  double all = 0;
-  for (const auto& [customer, line] : lines_) {
-    own += line.asked.Rate(now);
-    all += line.asked.Rate(now) + line.others_asked;
+  double local_demand = 0;
+  double total_demand = 0;
+  for (const auto& [customer, state] : customers_) {
+    local_demand += state.demand.Rate(now);
+    total_demand += state.demand.Rate(now) + state.remote_demand;
   }
-  return all > 0 ? own / all : 1;
+  return total_demand > 0 ? local_demand / total_demand : 1;
 }
 
 std::vector<customer_flow> share_limiter::Flows(time_point now) const {
   std::vector<customer_flow> flows;
-  for (const auto& [customer, line] : lines_) {
+  for (const auto& [customer, state] : customers_) {
     const customer_flow flow{.pool = pool_,
                              .customer = customer,
-                             .asked = line.asked.Rate(now),
-                             .begun = line.begun.Rate(now)};
-    if (flow.asked >= kLeastFlow || flow.begun >= kLeastFlow) {
+                             .asked = state.demand.Rate(now),
+                             .begun = state.started.Rate(now)};
+    if (flow.asked >= kMinReportedRate || flow.begun >= kMinReportedRate) {
       flows.push_back(flow);
     }
   }
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -1,6 +1,6 @@
-// Which customers of a pool have had more than their share while others wait.
-// Answers the load in which one customer asks for many times its usual and the
-// pool cannot serve everybody.
+// Identifies customers that exceed their fair share of an overloaded pool.
+// Protects the other customers when one sends many times its usual load and the
+// pool cannot serve all of it.
 #pragma once
 
 #include <map>
@@ -15,56 +15,59 @@
 
 namespace burdocklock::admission {
 
-/// While all routers together are asked for more than is begun, each customer
-/// has a bucket that fills at its max-min share of what is begun, split over
-/// routers by where the customer asks.
+/// While the demand on all routers together exceeds the work that is started,
+/// each customer has a token bucket that refills at its max-min share of the
+/// started work. A customer's share is split over the routers in proportion to
+/// its demand at each.
 ///
-/// Invariant: a customer that asks for no more than its share never is over
-/// it for longer than one bucket lasts.
+/// Invariant: a customer whose demand stays within its share is never reported
+/// as over it for longer than one bucket depth.
 class share_limiter {
  public:
   explicit share_limiter(const pool_id& pool) : pool_(pool) {}
 
-  /// A request has arrived.
+  /// Records an arriving request.
   void OnAsked(const customer_id& customer, double tokens, time_point now);
-  /// A request has been sent to a target.
+  /// Records a request that was sent to a target.
   void OnBegun(const customer_id& customer, double tokens, time_point now);
-  /// A request that was sent has certainly not run.
+  /// Undoes `OnBegun` for a request that certainly was not executed.
   void OnReturned(const customer_id& customer, double tokens, time_point now);
-  /// Flows of the other routers.
+  /// Replaces the flows of the other routers.
   void SetOthers(const std::vector<customer_flow>& others, time_point now);
-  /// Tokens a second that the pool is known to bear; zero if not known.
+  /// Sets the known capacity of the pool, in tokens per second; zero if
+  /// unknown.
   void SetKnownCapacity(double tokens_per_second) {
     known_capacity_ = tokens_per_second;
   }
 
-  /// True if the customer has used up its share for now.
+  /// Returns whether the customer has used up its share for now.
   [[nodiscard]] bool IsOver(const customer_id& customer, time_point now);
-  /// Part of what all routers are asked that this one is asked, 0 to 1.
+  /// Returns this router's fraction of the demand on all routers, 0 to 1.
   [[nodiscard]] double OwnPart(time_point now) const;
-  /// This router's flows, for the others.
+  /// Returns this router's flows, to be reported to the other routers.
   [[nodiscard]] std::vector<customer_flow> Flows(time_point now) const;
-  /// A customer's share in tokens a second over all routers; kNoLimit while the
-  /// pool serves everybody.
+  /// A customer's share over all routers, in tokens per second; kNoLimit while
+  /// the pool is not overloaded.
   [[nodiscard]] double share() const { return share_; }
 
  private:
-  struct line {
-    flow_meter asked;
-    flow_meter begun;
-    double others_asked = 0;
-    double others_begun = 0;
-    /// Tokens that may still be begun.
-    double bucket = 0;
-    time_point filled_at{};
+  struct customer_state {
+    flow_meter demand;
+    flow_meter started;
+    double remote_demand = 0;
+    double remote_started = 0;
+    /// Tokens that may still be started; negative if over the share.
+    double bucket_tokens = 0;
+    time_point refilled_at{};
   };
 
-  void Refill(line& line, time_point now);
+  void Refill(customer_state& state, time_point now);
   void UpdateShare(time_point now);
-  [[nodiscard]] double LimitOf(const line& line, time_point now) const;
+  [[nodiscard]] double RefillRate(const customer_state& state,
+                                  time_point now) const;
 
   pool_id pool_;
-  std::unordered_map<customer_id, line> lines_;
+  std::unordered_map<customer_id, customer_state> customers_;
   double known_capacity_ = 0;
   double share_ = kNoLimit;
   time_point updated_at_{};
--- a/src/admission/tests/admission_unittest.cc
+++ b/src/admission/tests/admission_unittest.cc
@@ -1,4 +1,4 @@
-// Shares of customers while a pool is short, over several routers.
+// Fair shares of customers in an overloaded pool with several routers.
 #include <map>
 #include <numeric>
 
@@ -15,21 +15,21 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE(
-    "max-min share: any demands: within capacity, nobody below it lacks") {
+TEST_CASE("max-min share: any demands: fits the capacity and uses all of it") {
   rc::prop("share", [](const std::vector<std::uint16_t>& demands,
                        std::uint16_t capacity) {
-    std::vector<double> asked(demands.begin(), demands.end());
-    const double share = MaxMinShare(asked, capacity);
-    double given = 0;
-    for (const double demand : asked) {
-      given += std::min(demand, share);
+    std::vector<double> demand_rates(demands.begin(), demands.end());
+    const double share = MaxMinShare(demand_rates, capacity);
+    double allocated = 0;
+    for (const double demand : demand_rates) {
+      allocated += std::min(demand, share);
     }
-    RC_ASSERT(given <= capacity + 1e-6);
-    const double total = std::accumulate(asked.begin(), asked.end(), 0.0);
+    RC_ASSERT(allocated <= capacity + 1e-6);
+    const double total =
+        std::accumulate(demand_rates.begin(), demand_rates.end(), 0.0);
     RC_ASSERT((share == kNoLimit) == (total <= capacity));
-    // All of the capacity is given out if it is short.
-    RC_ASSERT(share == kNoLimit || given >= capacity - 1e-6);
+    // An overloaded pool is allocated in full.
+    RC_ASSERT(share == kNoLimit || allocated >= capacity - 1e-6);
   });
 }
 
@@ -44,20 +44,20 @@
   CHECK(meter.Rate(now + seconds(10)) < 50);
 }
 
-// Two routers before a pool that begins at most `capacity` tokens a second and
-// has room for some tokens ahead. Who is over its share gets room to spare
-// only.
+// Simulates two routers in front of a pool that starts at most `capacity`
+// tokens per second and can queue up to `kQueueTokens`. Customers over their
+// share are served only while at least `kSpareTokens` of the queue are free.
 struct overload_fixture {
-  static constexpr double kRequest = 1000;
-  static constexpr double kRoom = 20'000;
-  static constexpr double kSpareRoom = 0.7 * kRoom;
+  static constexpr double kRequestTokens = 1000;
+  static constexpr double kQueueTokens = 20'000;
+  static constexpr double kSpareTokens = 0.7 * kQueueTokens;
 
   std::vector<share_limiter> routers{share_limiter(pool_id("p")),
                                      share_limiter(pool_id("p"))};
   time_point now{seconds(100)};
   double capacity = 100'000;
-  double credit = kRoom;
-  std::map<customer_id, double> begun;
+  double credit = kQueueTokens;
+  std::map<customer_id, double> started;
   std::map<customer_id, double> refused;
 
   struct source {
@@ -67,16 +67,16 @@
     double due = 0;
   };
 
-  void Play(std::vector<source> sources, duration time) {
+  void Run(std::vector<source> sources, duration time) {
     constexpr milliseconds kStep{10};
     for (const time_point end = now + time; now < end; now += kStep) {
-      credit = std::min(credit + capacity * ToSeconds(kStep), kRoom);
+      credit = std::min(credit + capacity * ToSeconds(kStep), kQueueTokens);
       std::vector<source*> over;
       for (source& source : sources) {
         source.due += source.tokens_per_second * ToSeconds(kStep);
-        while (source.due >= kRequest) {
-          source.due -= kRequest;
-          routers[source.router].OnAsked(source.customer, kRequest, now);
+        while (source.due >= kRequestTokens) {
+          source.due -= kRequestTokens;
+          routers[source.router].OnAsked(source.customer, kRequestTokens, now);
           if (routers[source.router].IsOver(source.customer, now)) {
             over.push_back(&source);
           } else {
@@ -85,10 +85,10 @@
         }
       }
       for (source* source : over) {
-        if (credit >= kSpareRoom) {
+        if (credit >= kSpareTokens) {
           Serve(*source);
         } else {
-          refused[source->customer] += kRequest;
+          refused[source->customer] += kRequestTokens;
         }
       }
       if ((now.time_since_epoch() / kStep) % 20 == 0) {
@@ -100,61 +100,62 @@
     }
   }
   void Serve(const source& source) {
-    if (credit < kRequest) {
-      refused[source.customer] += kRequest;
+    if (credit < kRequestTokens) {
+      refused[source.customer] += kRequestTokens;
       return;
     }
-    credit -= kRequest;
-    begun[source.customer] += kRequest;
-    routers[source.router].OnBegun(source.customer, kRequest, now);
+    credit -= kRequestTokens;
+    started[source.customer] += kRequestTokens;
+    routers[source.router].OnBegun(source.customer, kRequestTokens, now);
   }
 };
 
-TEST_CASE_METHOD(overload_fixture,
-                 "shares: pool is not short: nobody is over") {
-  Play({{.router = 0, .customer = customer_id("a"), .tokens_per_second = 60e3},
-        {.router = 1, .customer = customer_id("b"), .tokens_per_second = 30e3}},
-       seconds(10));
+TEST_CASE_METHOD(
+    overload_fixture,
+    "shares: pool is not overloaded: no customer is over its share") {
+  Run({{.router = 0, .customer = customer_id("a"), .tokens_per_second = 60e3},
+       {.router = 1, .customer = customer_id("b"), .tokens_per_second = 30e3}},
+      seconds(10));
   CHECK(refused.empty());
 }
 
 TEST_CASE_METHOD(overload_fixture,
-                 "shares: one customer asks 8 times its usual at one router: "
-                 "others get what they ask") {
-  Play({{.router = 0,
-         .customer = customer_id("hot"),
-         .tokens_per_second = 240e3},
-        {.router = 0, .customer = customer_id("a"), .tokens_per_second = 20e3},
-        {.router = 1, .customer = customer_id("b"), .tokens_per_second = 20e3}},
-       seconds(4));
-  begun.clear();
+                 "shares: one customer sends 8 times its usual load at one "
+                 "router: the demands of the others are met") {
+  Run({{.router = 0,
+        .customer = customer_id("hot"),
+        .tokens_per_second = 240e3},
+       {.router = 0, .customer = customer_id("a"), .tokens_per_second = 20e3},
+       {.router = 1, .customer = customer_id("b"), .tokens_per_second = 20e3}},
+      seconds(4));
+  started.clear();
   refused.clear();
-  Play({{.router = 0,
-         .customer = customer_id("hot"),
-         .tokens_per_second = 240e3},
-        {.router = 0, .customer = customer_id("a"), .tokens_per_second = 20e3},
-        {.router = 1, .customer = customer_id("b"), .tokens_per_second = 20e3}},
-       seconds(6));
-  CHECK(begun[customer_id("a")] >= 0.9 * 20e3 * 6);
-  CHECK(begun[customer_id("b")] >= 0.9 * 20e3 * 6);
-  // The rest is not left idle.
-  CHECK(begun[customer_id("hot")] >= 0.85 * 60e3 * 6);
+  Run({{.router = 0,
+        .customer = customer_id("hot"),
+        .tokens_per_second = 240e3},
+       {.router = 0, .customer = customer_id("a"), .tokens_per_second = 20e3},
+       {.router = 1, .customer = customer_id("b"), .tokens_per_second = 20e3}},
+      seconds(6));
+  CHECK(started[customer_id("a")] >= 0.9 * 20e3 * 6);
+  CHECK(started[customer_id("b")] >= 0.9 * 20e3 * 6);
+  // The remaining capacity does not stay idle.
+  CHECK(started[customer_id("hot")] >= 0.85 * 60e3 * 6);
 }
 
 TEST_CASE_METHOD(overload_fixture,
-                 "shares: a hot customer spread over both routers: held to its "
-                 "share over both") {
+                 "shares: an overloading customer on both routers: limited to "
+                 "its share over both") {
   const std::vector<source> load = {
       {.router = 0, .customer = customer_id("hot"), .tokens_per_second = 150e3},
       {.router = 1, .customer = customer_id("hot"), .tokens_per_second = 150e3},
       {.router = 0, .customer = customer_id("a"), .tokens_per_second = 40e3},
       {.router = 1, .customer = customer_id("b"), .tokens_per_second = 40e3}};
-  Play(load, seconds(4));
-  begun.clear();
-  Play(load, seconds(6));
+  Run(load, seconds(4));
+  started.clear();
+  Run(load, seconds(6));
   const double share = 100e3 / 3 * 6;
-  CHECK(begun[customer_id("a")] >= 0.8 * share);
-  CHECK(begun[customer_id("b")] >= 0.8 * share);
+  CHECK(started[customer_id("a")] >= 0.8 * share);
+  CHECK(started[customer_id("b")] >= 0.8 * share);
 }
 
 }  // namespace
