--- a/src/targets/admission_ramp.h
+++ b/src/targets/admission_ramp.h
@@ -54,17 +54,17 @@
 
   /// First output after `latency`. A jump over the usual latency is a sign
   /// that the target has turned cold. Returns true if the limit was cut.
-  bool OnFirstOutput(ramp_epoch admitted_in, duration latency);
+  bool OnFirstOutput(ramp_epoch admission_epoch, duration latency);
   /// A request was answered in full. Returns true if the limit rose.
-  bool OnGood(ramp_epoch admitted_in);
+  bool OnSuccess(ramp_epoch admission_epoch);
   /// Several requests were answered in full.
-  void OnGoodCount(ramp_epoch admitted_in, std::uint32_t count);
+  void OnSuccesses(ramp_epoch admission_epoch, std::uint32_t count);
   /// Somebody else has found that the target turned cold.
-  void OnJump(ramp_epoch admitted_in);
+  void OnLatencyJump(ramp_epoch admission_epoch);
   /// Somebody else has evidence for a larger limit.
   void RaiseTo(std::uint32_t limit);
   /// A refusal, timeout or broken connection.
-  void OnBad(ramp_epoch admitted_in, time_point now);
+  void OnFailure(ramp_epoch admission_epoch, time_point now);
 
   [[nodiscard]] std::uint32_t limit() const { return limit_; }
   [[nodiscard]] ramp_epoch epoch() const { return epoch_; }
@@ -73,18 +73,18 @@
   [[nodiscard]] time_point paused_until() const { return paused_until_; }
 
  private:
-  void Cut(std::uint32_t new_limit);
+  void ReduceLimit(std::uint32_t new_limit);
 
   ramp_options options_;
   std::uint32_t slots_;
   std::uint32_t cold_slots_;
   std::uint32_t limit_;
-  std::uint32_t good_ = 0;
-  std::uint32_t bad_in_row_ = 0;
+  std::uint32_t successes_ = 0;
+  std::uint32_t consecutive_failures_ = 0;
   ramp_epoch epoch_{1};
   time_point paused_until_{};
   /// Smoothed latency of first outputs while warm; zero until known.
-  double usual_first_output_s_ = 0;
+  double smoothed_first_output_s_ = 0;
 };
 
 }  // namespace burdocklock::targets
--- a/src/targets/cold_admission.h
+++ b/src/targets/cold_admission.h
@@ -10,7 +10,7 @@
 namespace burdocklock::targets {
 
 /// What targets of a pool bear while they are cold.
-struct cold_terms {
+struct cold_limits {
   /// Requests a second, from all routers together; zero if they never are cold.
   double rate = 0;
   /// How long they are cold after a return to service.
@@ -23,9 +23,9 @@
 
 /// This router's share of a cold target's rate: zero unless it is among the
 /// routers chosen for that target. All routers that know the same list agree.
-double ColdShare(const target_id& target,
-                 const daemon_id& self,
-                 const std::vector<daemon_id>& routers);
+double ColdRateShare(const target_id& target,
+                     const daemon_id& self,
+                     const std::vector<daemon_id>& routers);
 
 /// A bucket of one token.
 ///
@@ -33,13 +33,13 @@
 class cold_bucket {
  public:
   [[nodiscard]] bool HasToken(double rate, time_point now) const;
-  void Take(double rate, time_point now);
+  void TakeToken(double rate, time_point now);
 
  private:
-  [[nodiscard]] double Level(double rate, time_point now) const;
+  [[nodiscard]] double TokensAt(double rate, time_point now) const;
 
-  double level_ = 1;
-  time_point filled_at_{};
+  double tokens_ = 1;
+  time_point refilled_at_{};
 };
 
 }  // namespace burdocklock::targets
--- a/src/targets/internal/cold_admission.cc
+++ b/src/targets/internal/cold_admission.cc
@@ -9,9 +9,9 @@
 
 namespace burdocklock::targets {
 
-double ColdShare(const target_id& target,
-                 const daemon_id& self,
-                 const std::vector<daemon_id>& routers) {
+double ColdRateShare(const target_id& target,
+                     const daemon_id& self,
+                     const std::vector<daemon_id>& routers) {
   const std::uint64_t own = RendezvousWeight(target.value(), self.value());
   std::size_t before = 0;
   std::size_t known = 0;
@@ -28,20 +28,20 @@
   return 1.0 / static_cast<double>(std::min(known + 1, kRoutersPerColdTarget));
 }
 
-double cold_bucket::Level(double rate, time_point now) const {
-  if (filled_at_ == time_point{}) {
+double cold_bucket::TokensAt(double rate, time_point now) const {
+  if (refilled_at_ == time_point{}) {
     return 1;
   }
-  return std::min(1.0, level_ + rate * ToSeconds(now - filled_at_));
+  return std::min(1.0, tokens_ + rate * ToSeconds(now - refilled_at_));
 }
 
 bool cold_bucket::HasToken(double rate, time_point now) const {
-  return rate > 0 && Level(rate, now) >= 1;
+  return rate > 0 && TokensAt(rate, now) >= 1;
 }
 
-void cold_bucket::Take(double rate, time_point now) {
-  level_ = Level(rate, now) - 1;
-  filled_at_ = now;
+void cold_bucket::TakeToken(double rate, time_point now) {
+  tokens_ = TokensAt(rate, now) - 1;
+  refilled_at_ = now;
 }
 
 }  // namespace burdocklock::targets
--- a/src/targets/internal/prompt_placement.cc
+++ b/src/targets/internal/prompt_placement.cc
@@ -14,27 +14,28 @@
 
 // What a running request costs its neighbours, in prompt tokens to be read: its
 // share of the steps that are lengthened by it.
-constexpr double kTokensPerRunning = 120;
+constexpr double kRunningRequestCost = 120;
 // What the way to another data centre costs, in prompt tokens to be read.
-constexpr double kTokensPerDistance = 400;
+constexpr double kRemoteDataCentreCost = 400;
 // Targets that all routers prefer for prompts of one kind.
-constexpr std::size_t kAgreedTargets = 2;
+constexpr std::size_t kPreferredTargets = 2;
 // Part of a shared prefix that these probably keep, although this router may
 // not have sent it there.
-constexpr std::array<double, kAgreedTargets> kAgreedHeld = {0.95, 0.4};
+constexpr std::array<double, kPreferredTargets> kPreferredCachedFraction = {
+    0.95, 0.4};
 // What a copy of parts from another target costs, in prompt tokens to be read:
 // to begin with, and for each token.
-constexpr double kTokensPerCopy = 150;
-constexpr double kTokensPerCopied = 0.4;
+constexpr double kCopyBaseCost = 150;
+constexpr double kCopyCostPerToken = 0.4;
 // Less than this is read sooner than copied.
-constexpr std::uint32_t kLeastCopiedTokens = 256;
+constexpr std::uint32_t kMinCopiedTokens = 256;
 // Shared parts of this size are worth some waiting for a target that keeps
 // them.
-constexpr std::uint32_t kTokensWorthWaiting = 1000;
+constexpr std::uint32_t kMinTokensWorthWaiting = 1000;
 // What targets may have waiting to be read, as time that they take for it.
-constexpr double kReadAheadMs = 250;
+constexpr double kMaxBacklogMs = 250;
 // Part of that up to which a target has room to spare.
-constexpr double kSparePart = 0.3;
+constexpr double kSpareFraction = 0.3;
 
 // Id of the last part that other prompts share; the one after it belongs to
 // the request itself.
@@ -68,20 +69,21 @@
   if (all.empty()) {
     all = std::move(found.last_resort);
   }
-  const std::vector<const entry*> agreed =
-      AgreedTargets(pool, SharedKey(prompt), now);
+  const std::vector<const entry*> preferred =
+      PreferredTargets(pool, SharedKey(prompt), now);
   const best_holders holders = BestHolders(pool, prompt, now);
-  const bool only_agreed = urgency.agreed_only && !agreed.empty() &&
-                           holders[0].target == nullptr &&
-                           SharedTokens(prompt) >= kTokensWorthWaiting;
-  placing best;
-  placing second;
+  const bool only_preferred = urgency.agreed_only && !preferred.empty() &&
+                              holders[0].target == nullptr &&
+                              SharedTokens(prompt) >= kMinTokensWorthWaiting;
+  placement best;
+  placement second;
   for (entry* candidate : all) {
-    const placing placed = Place(*candidate, prompt, agreed, holders);
-    const bool is_agreed =
-        std::find(agreed.begin(), agreed.end(), candidate) != agreed.end();
-    if ((only_agreed && !is_agreed) ||
-        !MayRead(*candidate, placed.unread, urgency)) {
+    const placement placed =
+        EvaluatePlacement(*candidate, prompt, preferred, holders);
+    const bool is_preferred = std::find(preferred.begin(), preferred.end(),
+                                        candidate) != preferred.end();
+    if ((only_preferred && !is_preferred) ||
+        !HasProcessingRoom(*candidate, placed.unread, urgency)) {
       continue;
     }
     if (placed.cost < best.cost) {
@@ -97,28 +99,28 @@
   if (second.target != nullptr) {
     considered.push_back(second.target->announced.target);
   }
-  return GrantPlacing(best, prompt, std::move(considered), now);
+  return GrantPlacement(best, prompt, std::move(considered), now);
 }
 
-target_directory::placing target_directory::Place(
+target_directory::placement target_directory::EvaluatePlacement(
     entry& candidate,
     const prompt& prompt,
-    const std::vector<const entry*>& agreed,
+    const std::vector<const entry*>& preferred,
     const best_holders& holders) const {
-  const std::uint32_t held = HeldBy(candidate, prompt, agreed);
-  placing placed{.target = &candidate, .unread = prompt.input_tokens - held};
+  const std::uint32_t held = EstimateCachedTokens(candidate, prompt, preferred);
+  placement placed{.target = &candidate, .unread = prompt.input_tokens - held};
   double copy_cost = 0;
-  const holding& other =
+  const prefix_holder& other =
       holders[0].target != &candidate ? holders[0] : holders[1];
   // Also named where it should not be needed: what the target keeps is only
   // supposed.
   placed.source = other.target;
-  if (other.tokens >= held + kLeastCopiedTokens) {
+  if (other.tokens >= held + kMinCopiedTokens) {
     placed.copied = other.tokens - held;
     placed.unread -= placed.copied;
-    copy_cost = kTokensPerCopy + kTokensPerCopied * placed.copied;
+    copy_cost = kCopyBaseCost + kCopyCostPerToken * placed.copied;
   }
-  placed.cost = CostOf(candidate, placed.unread) + copy_cost;
+  placed.cost = PlacementCost(candidate, placed.unread) + copy_cost;
   return placed;
 }
 
@@ -128,15 +130,16 @@
     time_point now) const {
   best_holders best;
   const auto entries = by_pool_.find(pool);
-  if (entries == by_pool_.end() || !copying_.contains(pool)) {
+  if (entries == by_pool_.end() || !copying_pools_.contains(pool)) {
     return best;
   }
   for (const entry* entry : entries->second) {
     // Callers may say that the parts are longer than the prompt.
-    const holding held{.target = entry,
-                       .tokens = std::min(entry->prefixes.HeldAndRead(prompt),
-                                          prompt.input_tokens)};
-    if (held.tokens < kLeastCopiedTokens || !IsUsable(*entry, now)) {
+    const prefix_holder held{
+        .target = entry,
+        .tokens = std::min(entry->prefixes.ProcessedTokens(prompt),
+                           prompt.input_tokens)};
+    if (held.tokens < kMinCopiedTokens || !IsUsable(*entry, now)) {
       continue;
     }
     if (held.tokens > best[0].tokens) {
@@ -148,14 +151,14 @@
   return best;
 }
 
-choice target_directory::GrantPlacing(const placing& best,
-                                      const prompt& prompt,
-                                      std::vector<target_id> considered,
-                                      time_point now) {
+choice target_directory::GrantPlacement(const placement& best,
+                                        const prompt& prompt,
+                                        std::vector<target_id> considered,
+                                        time_point now) {
   entry& target = *best.target;
   choice made = Grant(target, std::move(considered), now);
   made.unread_tokens = best.unread;
-  made.tokens_before = target.unread_tokens + target.others_unread;
+  made.tokens_before = target.unread_tokens + target.remote_unread_tokens;
   if (best.source != nullptr) {
     made.copy_from = best.source->announced.address;
     made.copied_tokens = best.copied;
@@ -165,11 +168,11 @@
   target.unread_tokens += best.unread;
   granted_tokens_ += best.unread;
   made.grant.tokens_ahead = target.unread_tokens;
-  target.prefixes.Note(prompt);
+  target.prefixes.RecordSent(prompt);
   return made;
 }
 
-std::vector<const target_directory::entry*> target_directory::AgreedTargets(
+std::vector<const target_directory::entry*> target_directory::PreferredTargets(
     const pool_id& pool,
     std::uint64_t key,
     time_point now) const {
@@ -184,40 +187,40 @@
           RendezvousWeight(key, entry->announced.target.value()), entry);
     }
   }
-  const std::size_t count = std::min(kAgreedTargets, weighted.size());
+  const std::size_t count = std::min(kPreferredTargets, weighted.size());
   std::partial_sort(weighted.begin(),
                     weighted.begin() + static_cast<std::ptrdiff_t>(count),
                     weighted.end(), std::greater<>());
-  std::vector<const entry*> agreed;
+  std::vector<const entry*> preferred;
   for (std::size_t i = 0; i < count; ++i) {
-    agreed.push_back(weighted[i].second);
+    preferred.push_back(weighted[i].second);
   }
-  return agreed;
+  return preferred;
 }
 
-std::uint32_t target_directory::HeldBy(
+std::uint32_t target_directory::EstimateCachedTokens(
     const entry& entry,
     const prompt& prompt,
-    const std::vector<const target_directory::entry*>& agreed) {
-  std::uint32_t held = entry.prefixes.Held(prompt);
-  const auto place = std::find(agreed.begin(), agreed.end(), &entry);
-  if (place != agreed.end()) {
-    const double probable =
-        kAgreedHeld[static_cast<std::size_t>(place - agreed.begin())] *
-        SharedTokens(prompt);
+    const std::vector<const target_directory::entry*>& preferred) {
+  std::uint32_t held = entry.prefixes.CachedTokens(prompt);
+  const auto place = std::find(preferred.begin(), preferred.end(), &entry);
+  if (place != preferred.end()) {
+    const double probable = kPreferredCachedFraction[static_cast<std::size_t>(
+                                place - preferred.begin())] *
+                            SharedTokens(prompt);
     held = std::max(held, static_cast<std::uint32_t>(probable));
   }
   return std::min(held, prompt.input_tokens);
 }
 
-bool target_directory::MayRead(const entry& entry,
-                               std::uint32_t unread,
-                               prompt_urgency urgency) const {
-  const double limit = entry.tokens_per_ms * kReadAheadMs;
+bool target_directory::HasProcessingRoom(const entry& entry,
+                                         std::uint32_t unread,
+                                         prompt_urgency urgency) const {
+  const double limit = entry.tokens_per_ms * kMaxBacklogMs;
   const auto own = static_cast<double>(entry.unread_tokens);
-  const auto others = static_cast<double>(entry.others_unread);
+  const auto others = static_cast<double>(entry.remote_unread_tokens);
   if (urgency.spare_only) {
-    return own + others + unread <= limit * kSparePart || own + others == 0;
+    return own + others + unread <= limit * kSpareFraction || own + others == 0;
   }
   // Within its own part a router need not know what others have just sent.
   if (own + unread <= limit * own_part_) {
@@ -229,14 +232,14 @@
   return others + unread <= limit || others == 0;
 }
 
-double target_directory::CostOf(const entry& entry,
-                                std::uint32_t unread) const {
+double target_directory::PlacementCost(const entry& entry,
+                                       std::uint32_t unread) const {
   const double distance =
       entry.announced.data_centre == options_.local_data_centre
           ? 0
-          : kTokensPerDistance;
-  return static_cast<double>(entry.unread_tokens + entry.others_unread) +
-         kTokensPerRunning * (entry.in_flight + entry.others_in_flight) +
+          : kRemoteDataCentreCost;
+  return static_cast<double>(entry.unread_tokens + entry.remote_unread_tokens) +
+         kRunningRequestCost * (entry.in_flight + entry.remote_in_flight) +
          unread + distance;
 }
 
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -13,14 +13,15 @@
 // Weight of the newest observation of a target's speed.
 constexpr double kRateSmoothing = 0.05;
 // Shorter prompts say little about the speed.
-constexpr std::uint64_t kLeastObservedTokens = 4000;
-constexpr double kLeastTokensPerMs = 5;
-constexpr double kMostTokensPerMs = 400;
+constexpr std::uint64_t kMinSampleTokens = 4000;
+constexpr double kMinTokensPerMs = 5;
+constexpr double kMaxTokensPerMs = 400;
 // Part of a target's memory that running requests leave for kept parts.
-constexpr double kKeptPart = 0.4;
+constexpr double kCachedFraction = 0.4;
 
-std::uint64_t KeptTokens(std::uint64_t memory) {
-  return static_cast<std::uint64_t>(kKeptPart * static_cast<double>(memory));
+std::uint64_t CacheCapacity(std::uint64_t memory) {
+  return static_cast<std::uint64_t>(kCachedFraction *
+                                    static_cast<double>(memory));
 }
 
 }  // namespace
@@ -79,7 +80,7 @@
                                time_point now) {
   ++picked.in_flight;
   if (now < picked.cold_until) {
-    picked.cold.Take(ColdRate(picked), now);
+    picked.cold.TakeToken(ColdRate(picked), now);
   }
   return {.grant = {.target = picked.announced.target,
                     .life = picked.announced.life,
@@ -130,43 +131,43 @@
 }
 
 void target_directory::SetColdTerms(const pool_id& pool,
-                                    const cold_terms& terms) {
-  cold_terms_[pool] = terms;
+                                    const cold_limits& terms) {
+  cold_limits_[pool] = terms;
 }
 
 void target_directory::SetMemory(const pool_id& pool, std::uint64_t tokens) {
-  if (memory_[pool] == tokens) {
+  if (pool_memory_[pool] == tokens) {
     return;
   }
-  memory_[pool] = tokens;
+  pool_memory_[pool] = tokens;
   const auto entries = by_pool_.find(pool);
   if (entries == by_pool_.end()) {
     return;
   }
   for (entry* entry : entries->second) {
-    entry->prefixes = prefix_memory(KeptTokens(tokens));
+    entry->prefixes = prefix_memory(CacheCapacity(tokens));
   }
 }
 
 void target_directory::SetCopying(const pool_id& pool, bool copies) {
   if (copies) {
-    copying_.insert(pool);
+    copying_pools_.insert(pool);
   } else {
-    copying_.erase(pool);
+    copying_pools_.erase(pool);
   }
 }
 
 void target_directory::SetOthersLoad(
     const std::vector<admission::target_load>& others) {
   for (auto& [target, entry] : entries_) {
-    entry.others_in_flight = 0;
-    entry.others_unread = 0;
+    entry.remote_in_flight = 0;
+    entry.remote_unread_tokens = 0;
   }
   for (const admission::target_load& load : others) {
     const auto found = entries_.find(load.target);
     if (found != entries_.end()) {
-      found->second.others_in_flight = load.in_flight;
-      found->second.others_unread = load.unread_tokens;
+      found->second.remote_in_flight = load.in_flight;
+      found->second.remote_unread_tokens = load.unread_tokens;
     }
   }
 }
@@ -183,15 +184,15 @@
   return own;
 }
 
-void target_directory::LearnRate(entry& entry,
-                                 const slot_grant& grant,
-                                 duration latency) {
+void target_directory::UpdateProcessingRate(entry& entry,
+                                            const slot_grant& grant,
+                                            duration latency) {
   const double ms = ToMilliseconds(latency);
-  if (grant.tokens_ahead < kLeastObservedTokens || ms <= 0) {
+  if (grant.tokens_ahead < kMinSampleTokens || ms <= 0) {
     return;
   }
   const double seen = std::clamp(static_cast<double>(grant.tokens_ahead) / ms,
-                                 kLeastTokensPerMs, kMostTokensPerMs);
+                                 kMinTokensPerMs, kMaxTokensPerMs);
   entry.tokens_per_ms += kRateSmoothing * (seen - entry.tokens_per_ms);
 }
 
@@ -202,17 +203,17 @@
 double target_directory::ColdRate(const entry& entry) const {
   double rate = 0;
   for (const pool_id& pool : entry.announced.pools) {
-    const auto terms = cold_terms_.find(pool);
-    rate = std::max(rate, terms == cold_terms_.end() ? 0 : terms->second.rate);
+    const auto terms = cold_limits_.find(pool);
+    rate = std::max(rate, terms == cold_limits_.end() ? 0 : terms->second.rate);
   }
-  return rate * ColdShare(entry.announced.target, options_.self, routers_);
+  return rate * ColdRateShare(entry.announced.target, options_.self, routers_);
 }
 
-void target_directory::NoteColdness(entry& entry, time_point now) {
+void target_directory::ApplyColdPeriod(entry& entry, time_point now) {
   for (const pool_id& pool : entry.announced.pools) {
-    const auto memory = memory_.find(pool);
-    if (entry.prefixes.capacity() == 0 && memory != memory_.end()) {
-      entry.prefixes = prefix_memory(KeptTokens(memory->second));
+    const auto memory = pool_memory_.find(pool);
+    if (entry.prefixes.capacity() == 0 && memory != pool_memory_.end()) {
+      entry.prefixes = prefix_memory(CacheCapacity(memory->second));
     }
   }
   if (!entry.announced.cold_for) {
@@ -229,7 +230,7 @@
       is_cold ? std::max(entry.cold_until, until) : entry.cold_until;
 }
 
-void target_directory::ForgetUnread(entry& entry, std::uint64_t grant) {
+void target_directory::RemoveUnread(entry& entry, std::uint64_t grant) {
   const auto found = entry.unread.find(grant);
   if (found != entry.unread.end()) {
     entry.unread_tokens -= found->second.tokens;
@@ -239,7 +240,7 @@
 
 void target_directory::NoteGone(const slot_grant& grant) {
   if (entry* known = Find(grant.target, grant.life)) {
-    known->gone = true;
+    known->replaced = true;
   }
 }
 
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -20,7 +20,7 @@
     const auto [added, inserted] =
         entries_.emplace(announcement.target, std::move(fresh));
     IndexPools(added->second);
-    NoteColdness(added->second, now);
+    ApplyColdPeriod(added->second, now);
     next_deadline_ = std::min(next_deadline_, now + options_.silence);
     return announce_result::kNew;
   }
@@ -34,7 +34,7 @@
   } else {
     Refresh(known, announcement);
   }
-  NoteColdness(known, now);
+  ApplyColdPeriod(known, now);
   if (now - known.last_heard > options_.silence / 2) {
     known.heard_since = now;
   }
@@ -72,7 +72,7 @@
   known.unread_tokens = 0;
   known.prefixes.Clear();
   known.cold_until = {};
-  known.gone = false;
+  known.replaced = false;
   IndexPools(known);
 }
 
@@ -95,7 +95,7 @@
 void target_directory::SetDataCentreOut(const data_centre_id& data_centre,
                                         bool out,
                                         time_point now) {
-  bool& current = out_[data_centre];
+  bool& current = data_centres_out_[data_centre];
   if (current == out) {
     return;
   }
@@ -109,8 +109,8 @@
     }
     entry.ramp.Reset();
     for (const pool_id& pool : entry.announced.pools) {
-      const auto terms = cold_terms_.find(pool);
-      if (terms != cold_terms_.end()) {
+      const auto terms = cold_limits_.find(pool);
+      if (terms != cold_limits_.end()) {
         entry.cold_until = std::max(entry.cold_until, now + terms->second.time);
         entry.ramp.RaiseTo(entry.announced.slots);
       }
@@ -120,13 +120,13 @@
 
 bool target_directory::IsDataCentreOut(
     const data_centre_id& data_centre) const {
-  const auto found = out_.find(data_centre);
-  return found != out_.end() && found->second;
+  const auto found = data_centres_out_.find(data_centre);
+  return found != data_centres_out_.end() && found->second;
 }
 
 std::vector<data_centre_id> target_directory::OutOfService() const {
   std::vector<data_centre_id> found;
-  for (const auto& [data_centre, out] : out_) {
+  for (const auto& [data_centre, out] : data_centres_out_) {
     if (out) {
       found.push_back(data_centre);
     }
@@ -176,12 +176,12 @@
   if (known == nullptr) {
     return false;
   }
-  LearnRate(*known, grant, latency);
+  UpdateProcessingRate(*known, grant, latency);
   const auto begun = known->unread.find(grant.number);
   if (begun != known->unread.end()) {
-    known->prefixes.NoteRead(begun->second.parts);
+    known->prefixes.MarkProcessed(begun->second.parts);
   }
-  ForgetUnread(*known, grant.number);
+  RemoveUnread(*known, grant.number);
   if (!known->ramp.OnFirstOutput(grant.epoch, latency)) {
     return false;
   }
@@ -199,12 +199,12 @@
     return false;
   }
   --known->in_flight;
-  ForgetUnread(*known, grant.number);
+  RemoveUnread(*known, grant.number);
   if (options_.leased) {
     ++EvidenceOf(grant).good;
-    returned_revoked_ |= known->in_flight >= known->lease_limit;
+    revoked_slot_freed_ |= known->in_flight >= known->lease_limit;
   }
-  return known->ramp.OnGood(grant.epoch);
+  return known->ramp.OnSuccess(grant.epoch);
 }
 
 void target_directory::ReleaseBad(const slot_grant& grant, time_point now) {
@@ -213,13 +213,13 @@
     return;
   }
   --known->in_flight;
-  ForgetUnread(*known, grant.number);
+  RemoveUnread(*known, grant.number);
   if (options_.leased) {
     ++EvidenceOf(grant).bad;
     // Nothing new until the lessor has judged the failure.
     known->lease_limit = 0;
   }
-  known->ramp.OnBad(grant.epoch, now);
+  known->ramp.OnFailure(grant.epoch, now);
   if (known->ramp.paused_until() > now) {
     next_deadline_ = std::min(next_deadline_, known->ramp.paused_until());
   }
@@ -228,8 +228,8 @@
 void target_directory::ReleaseNeutral(const slot_grant& grant) {
   if (entry* known = Find(grant.target, grant.life)) {
     --known->in_flight;
-    ForgetUnread(*known, grant.number);
-    returned_revoked_ |=
+    RemoveUnread(*known, grant.number);
+    revoked_slot_freed_ |=
         options_.leased && known->in_flight >= known->lease_limit;
   }
 }
@@ -239,7 +239,7 @@
                                 ramp_epoch epoch,
                                 std::uint32_t count) {
   if (entry* known = Find(target, life)) {
-    known->ramp.OnGoodCount(epoch, count);
+    known->ramp.OnSuccesses(epoch, count);
   }
 }
 
@@ -251,7 +251,7 @@
   if (known == nullptr) {
     return;
   }
-  known->ramp.OnBad(epoch, now);
+  known->ramp.OnFailure(epoch, now);
   next_deadline_ = std::min(next_deadline_, NextDeadlineOf(*known, now));
 }
 
@@ -259,7 +259,7 @@
                                 incarnation life,
                                 ramp_epoch epoch) {
   if (entry* known = Find(target, life)) {
-    known->ramp.OnJump(epoch);
+    known->ramp.OnLatencyJump(epoch);
   }
 }
 
@@ -374,11 +374,11 @@
 }
 
 bool target_directory::IsUsable(const entry& entry, time_point now) const {
-  const bool in_force = options_.leased
-                            ? entry.lease_limit > 0 && now < entry.lease_until
-                            : now - entry.last_heard < options_.silence &&
-                                  entry.ramp.paused_until() <= now;
-  return in_force && !entry.gone &&
+  const bool is_available =
+      options_.leased ? entry.lease_limit > 0 && now < entry.lease_until
+                      : now - entry.last_heard < options_.silence &&
+                            entry.ramp.paused_until() <= now;
+  return is_available && !entry.replaced &&
          entry.announced.state == target_state::kReady &&
          !IsDataCentreOut(entry.announced.data_centre);
 }
@@ -389,7 +389,7 @@
 
 bool target_directory::HasRoom(const entry& entry, time_point now) const {
   if (entry.in_flight >= LimitOf(entry) ||
-      entry.in_flight + entry.others_in_flight >= entry.announced.slots) {
+      entry.in_flight + entry.remote_in_flight >= entry.announced.slots) {
     return false;
   }
   return now >= entry.cold_until || entry.cold.HasToken(ColdRate(entry), now);
--- a/src/targets/internal/target_leases.cc
+++ b/src/targets/internal/target_leases.cc
@@ -76,7 +76,7 @@
 std::vector<lease_evidence> target_directory::TakeEvidence(
     const data_centre_id& data_centre) {
   std::vector<lease_evidence> taken;
-  returned_revoked_ = false;
+  revoked_slot_freed_ = false;
   std::erase_if(evidence_, [&](const auto& entry) {
     if (entry.first != data_centre) {
       return false;
@@ -118,7 +118,7 @@
 }
 
 bool target_directory::HasUrgentEvidence() const {
-  return returned_revoked_ ||
+  return revoked_slot_freed_ ||
          std::any_of(
              evidence_.begin(), evidence_.end(), [this](const auto& entry) {
                const lease_evidence& seen = entry.second;
--- a/src/targets/prefix_memory.h
+++ b/src/targets/prefix_memory.h
@@ -23,30 +23,30 @@
 
   /// Tokens of the leading parts that are held without a gap, or will be once
   /// what was sent before is read.
-  [[nodiscard]] std::uint32_t Held(const prompt& prompt) const;
+  [[nodiscard]] std::uint32_t CachedTokens(const prompt& prompt) const;
   /// As above, of parts that have been read already.
-  [[nodiscard]] std::uint32_t HeldAndRead(const prompt& prompt) const;
+  [[nodiscard]] std::uint32_t ProcessedTokens(const prompt& prompt) const;
   /// The target has been sent this prompt.
-  void Note(const prompt& prompt);
+  void RecordSent(const prompt& prompt);
   /// The target has read these parts.
-  void NoteRead(const std::vector<prompt_part>& parts);
+  void MarkProcessed(const std::vector<prompt_part>& parts);
   void Clear();
   [[nodiscard]] std::uint64_t capacity() const { return capacity_; }
 
  private:
-  struct kept_part {
+  struct cached_part {
     prompt_part part;
-    bool is_read = false;
+    bool is_processed = false;
   };
-  using order = std::list<kept_part>;
+  using lru_list = std::list<cached_part>;
 
   void Touch(const prompt_part& part);
 
   std::uint64_t capacity_;
-  std::uint64_t held_tokens_ = 0;
+  std::uint64_t cached_tokens_ = 0;
   /// Most recently used first.
-  order parts_;
-  std::unordered_map<std::uint64_t, order::iterator> places_;
+  lru_list parts_;
+  std::unordered_map<std::uint64_t, lru_list::iterator> index_;
 };
 
 }  // namespace burdocklock::targets
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -159,7 +159,7 @@
                                         prompt_urgency urgency,
                                         time_point now);
   /// What targets of the pool bear while cold.
-  void SetColdTerms(const pool_id& pool, const cold_terms& terms);
+  void SetColdTerms(const pool_id& pool, const cold_limits& terms);
   /// Tokens that a target of the pool keeps.
   void SetMemory(const pool_id& pool, std::uint64_t tokens);
   /// Whether targets of the pool copy parts of prompts from each other.
@@ -255,7 +255,7 @@
       const target_id& target) const;
 
  private:
-  struct reading {
+  struct unread_prompt {
     std::uint32_t tokens = 0;
     std::vector<prompt_part> parts;
   };
@@ -276,16 +276,16 @@
     cold_bucket cold;
     prefix_memory prefixes{0};
     /// What is still to be read of each grant whose output has not begun.
-    std::unordered_map<std::uint64_t, reading> unread;
+    std::unordered_map<std::uint64_t, unread_prompt> unread;
     std::uint64_t unread_tokens = 0;
-    std::uint32_t others_in_flight = 0;
-    std::uint64_t others_unread = 0;
+    std::uint32_t remote_in_flight = 0;
+    std::uint64_t remote_unread_tokens = 0;
     /// Prompt tokens that the target reads in a millisecond, as observed.
-    double tokens_per_ms = kUsualTokensPerMs;
-    bool gone = false;
+    double tokens_per_ms = kDefaultTokensPerMs;
+    bool replaced = false;
   };
   /// Of current engines; replaced by what is observed.
-  static constexpr double kUsualTokensPerMs = 55;
+  static constexpr double kDefaultTokensPerMs = 55;
   struct candidates {
     std::vector<entry*> local;
     std::vector<entry*> remote;
@@ -297,7 +297,7 @@
                                       const std::vector<target_id>& excluded,
                                       time_point now);
   /// What sending a prompt to one target would mean.
-  struct placing {
+  struct placement {
     entry* target = nullptr;
     /// Prompt tokens that it would have to read.
     std::uint32_t unread = 0;
@@ -308,49 +308,52 @@
     double cost = std::numeric_limits<double>::max();
   };
   /// How much of a prompt some target keeps.
-  struct holding {
+  struct prefix_holder {
     const entry* target = nullptr;
     std::uint32_t tokens = 0;
   };
   /// The two that keep most of a prompt; one of them may be chosen itself.
-  using best_holders = std::array<holding, 2>;
+  using best_holders = std::array<prefix_holder, 2>;
 
-  [[nodiscard]] placing Place(entry& candidate,
-                              const prompt& prompt,
-                              const std::vector<const entry*>& agreed,
-                              const best_holders& holders) const;
+  [[nodiscard]] placement EvaluatePlacement(
+      entry& candidate,
+      const prompt& prompt,
+      const std::vector<const entry*>& preferred,
+      const best_holders& holders) const;
   /// The usable targets that have read most of the prompt, as far as this
   /// router has sent it there; none if targets of the pool do not copy from
   /// each other.
   [[nodiscard]] best_holders BestHolders(const pool_id& pool,
                                          const prompt& prompt,
                                          time_point now) const;
-  choice GrantPlacing(const placing& best,
-                      const prompt& prompt,
-                      std::vector<target_id> considered,
-                      time_point now);
+  choice GrantPlacement(const placement& best,
+                        const prompt& prompt,
+                        std::vector<target_id> considered,
+                        time_point now);
   choice Grant(entry& picked,
                std::vector<target_id> considered,
                time_point now);
-  [[nodiscard]] double CostOf(const entry& entry, std::uint32_t unread) const;
+  [[nodiscard]] double PlacementCost(const entry& entry,
+                                     std::uint32_t unread) const;
   /// Prompt tokens that the target probably keeps.
-  [[nodiscard]] static std::uint32_t HeldBy(
+  [[nodiscard]] static std::uint32_t EstimateCachedTokens(
       const entry& entry,
       const prompt& prompt,
-      const std::vector<const target_directory::entry*>& agreed);
-  [[nodiscard]] bool MayRead(const entry& entry,
-                             std::uint32_t unread,
-                             prompt_urgency urgency) const;
+      const std::vector<const target_directory::entry*>& preferred);
+  [[nodiscard]] bool HasProcessingRoom(const entry& entry,
+                                       std::uint32_t unread,
+                                       prompt_urgency urgency) const;
   /// The targets to which all routers send prompts of that key first.
-  [[nodiscard]] std::vector<const entry*> AgreedTargets(const pool_id& pool,
-                                                        std::uint64_t key,
-                                                        time_point now) const;
-  static void LearnRate(entry& entry,
-                        const slot_grant& grant,
-                        duration latency);
+  [[nodiscard]] std::vector<const entry*> PreferredTargets(
+      const pool_id& pool,
+      std::uint64_t key,
+      time_point now) const;
+  static void UpdateProcessingRate(entry& entry,
+                                   const slot_grant& grant,
+                                   duration latency);
   [[nodiscard]] double ColdRate(const entry& entry) const;
-  void NoteColdness(entry& entry, time_point now);
-  void ForgetUnread(entry& entry, std::uint64_t grant);
+  void ApplyColdPeriod(entry& entry, time_point now);
+  void RemoveUnread(entry& entry, std::uint64_t grant);
 
   [[nodiscard]] bool IsUsable(const entry& entry, time_point now) const;
   [[nodiscard]] std::uint32_t LimitOf(const entry& entry) const;
@@ -373,13 +376,13 @@
   // Node-based, so that the pointers in the index stay valid.
   std::unordered_map<target_id, entry> entries_;
   std::unordered_map<pool_id, std::vector<entry*>> by_pool_;
-  std::unordered_map<data_centre_id, bool> out_;
+  std::unordered_map<data_centre_id, bool> data_centres_out_;
   time_point next_deadline_ = kNever;
   std::unordered_map<pool_id, std::uint32_t> capacity_;
-  std::unordered_map<pool_id, cold_terms> cold_terms_;
-  std::unordered_map<pool_id, std::uint64_t> memory_;
+  std::unordered_map<pool_id, cold_limits> cold_limits_;
+  std::unordered_map<pool_id, std::uint64_t> pool_memory_;
   /// Pools whose targets copy parts of prompts from each other.
-  std::unordered_set<pool_id> copying_;
+  std::unordered_set<pool_id> copying_pools_;
   std::vector<daemon_id> routers_;
   std::uint64_t last_grant_ = 0;
   double own_part_ = 1;
@@ -387,7 +390,7 @@
   std::uint64_t granted_tokens_ = 0;
   std::vector<std::pair<data_centre_id, lease_evidence>> evidence_;
   /// A slot that was to be given back has become free since the last report.
-  bool returned_revoked_ = false;
+  bool revoked_slot_freed_ = false;
 };
 
 }  // namespace burdocklock::targets
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -187,9 +187,9 @@
       const time_point now{seconds(100) + milliseconds(ms)};
       for (std::size_t i = 0; i < count; ++i) {
         const double rate =
-            kRate * ColdShare(target_id("t"), routers[i], routers);
+            kRate * ColdRateShare(target_id("t"), routers[i], routers);
         if (buckets[i].HasToken(rate, now)) {
-          buckets[i].Take(rate, now);
+          buckets[i].TakeToken(rate, now);
           admitted.push_back(now);
         }
       }
@@ -212,7 +212,7 @@
     directory.SetCopying(pool_id("llm"), true);
   }
   // A session's first prompt has been read by the target that is returned.
-  target_id ReadOnce(std::uint64_t session) {
+  target_id ProcessOnce(std::uint64_t session) {
     const auto made = Choose(Prompt(session, 500));
     REQUIRE(made.has_value());
     directory.ReportFirstOutput(made->grant, milliseconds(50));
@@ -226,11 +226,11 @@
 
 TEST_CASE_METHOD(copying_fixture,
                  "copying: the keeper is busy: another target copies from it") {
-  const target_id keeper = ReadOnce(7);
-  Load(keeper);
+  const target_id holder = ProcessOnce(7);
+  Load(holder);
   const auto made = Choose(Prompt(7, 500));
   REQUIRE(made.has_value());
-  CHECK(made->grant.target != keeper);
+  CHECK(made->grant.target != holder);
   CHECK(made->copied_tokens > 0);
   CHECK(made->copy_from.has_value());
   // Only the request's own part is left to be read.
@@ -239,9 +239,9 @@
 
 TEST_CASE_METHOD(copying_fixture,
                  "copying: two keepers: each may lack what the other has") {
-  const target_id first = ReadOnce(7);
+  const target_id first = ProcessOnce(7);
   Load(first);
-  const target_id second = ReadOnce(7);
+  const target_id second = ProcessOnce(7);
   REQUIRE(second != first);
   directory.SetOthersLoad({});
   const auto made = Choose(Prompt(7, 500));
@@ -280,8 +280,8 @@
 
 TEST_CASE_METHOD(copying_fixture,
                  "copying: the keeper is leaving: not a source any more") {
-  const target_id keeper = ReadOnce(7);
-  directory.Announce({.target = keeper,
+  const target_id holder = ProcessOnce(7);
+  directory.Announce({.target = holder,
                       .life = incarnation(1),
                       .data_centre = data_centre_id("cheras"),
                       .pools = {pool_id("llm")},
@@ -297,8 +297,8 @@
 TEST_CASE_METHOD(copying_fixture,
                  "copying: targets of the pool do not copy: no source") {
   directory.SetCopying(pool_id("llm"), false);
-  const target_id keeper = ReadOnce(7);
-  Load(keeper);
+  const target_id holder = ProcessOnce(7);
+  Load(holder);
   const auto made = Choose(Prompt(7, 500));
   REQUIRE(made.has_value());
   CHECK_FALSE(made->copy_from.has_value());
@@ -309,13 +309,13 @@
   const auto part = [](std::uint64_t id) {
     return prompt{.input_tokens = 400, .parts = {{.id = id, .tokens = 400}}};
   };
-  memory.Note(part(1));
-  memory.Note(part(2));
-  memory.Note(part(1));
-  memory.Note(part(3));
-  CHECK(memory.Held(part(1)) == 400);
-  CHECK(memory.Held(part(2)) == 0);
-  CHECK(memory.Held(part(3)) == 400);
+  memory.RecordSent(part(1));
+  memory.RecordSent(part(2));
+  memory.RecordSent(part(1));
+  memory.RecordSent(part(3));
+  CHECK(memory.CachedTokens(part(1)) == 400);
+  CHECK(memory.CachedTokens(part(2)) == 0);
+  CHECK(memory.CachedTokens(part(3)) == 400);
 }
 
 TEST_CASE("prefix memory: parts sent and parts read: told apart") {
@@ -323,13 +323,13 @@
   const prompt sent{
       .input_tokens = 300,
       .parts = {{.id = 1, .tokens = 100}, {.id = 2, .tokens = 200}}};
-  memory.Note(sent);
-  CHECK(memory.Held(sent) == 300);
-  CHECK(memory.HeldAndRead(sent) == 0);
-  memory.NoteRead({sent.parts[0]});
-  CHECK(memory.HeldAndRead(sent) == 100);
-  memory.Note(sent);
-  CHECK(memory.HeldAndRead(sent) == 100);
+  memory.RecordSent(sent);
+  CHECK(memory.CachedTokens(sent) == 300);
+  CHECK(memory.ProcessedTokens(sent) == 0);
+  memory.MarkProcessed({sent.parts[0]});
+  CHECK(memory.ProcessedTokens(sent) == 100);
+  memory.RecordSent(sent);
+  CHECK(memory.ProcessedTokens(sent) == 100);
 }
 
 }  // namespace
--- a/src/targets/tests/targets_unittest.cc
+++ b/src/targets/tests/targets_unittest.cc
@@ -92,14 +92,14 @@
       const std::uint32_t before = ramp.limit();
       const ramp_epoch old(ramp.epoch().value() - 1);
       if (choice <= 2) {
-        ramp.OnGood(ramp.epoch());
+        ramp.OnSuccess(ramp.epoch());
         RC_ASSERT(ramp.limit() <= 2 * before);
       } else if (choice == 3) {
-        ramp.OnBad(ramp.epoch(), now);
+        ramp.OnFailure(ramp.epoch(), now);
         RC_ASSERT(ramp.limit() <= cold);
       } else if (choice == 4) {
-        ramp.OnBad(old, now);
-        ramp.OnGood(old);
+        ramp.OnFailure(old, now);
+        ramp.OnSuccess(old);
         RC_ASSERT(ramp.limit() == before);
       } else {
         ramp.Reset();
@@ -115,7 +115,7 @@
   admission_ramp ramp(16, 2);
   for (int i = 0; i < 30; ++i) {
     ramp.OnFirstOutput(ramp.epoch(), milliseconds(40));
-    ramp.OnGood(ramp.epoch());
+    ramp.OnSuccess(ramp.epoch());
   }
   REQUIRE(ramp.limit() == 16);
   CHECK(!ramp.OnFirstOutput(ramp.epoch(), milliseconds(200)));
@@ -126,9 +126,9 @@
 TEST_CASE("ramp: failures in a row: pauses, then tries again") {
   admission_ramp ramp(16, 2);
   const time_point now{seconds(1)};
-  ramp.OnBad(ramp.epoch(), now);
+  ramp.OnFailure(ramp.epoch(), now);
   CHECK(ramp.paused_until() <= now);
-  ramp.OnBad(ramp.epoch(), now);
+  ramp.OnFailure(ramp.epoch(), now);
   CHECK(ramp.paused_until() > now);
 }
 
