--- a/src/targets/admission_ramp.h
+++ b/src/targets/admission_ramp.h
@@ -1,4 +1,4 @@
-// How many requests a target may hold at once, given what it has shown so far.
+// Adaptive concurrency limit of one target.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,12 @@
 namespace burdocklock::targets {
 
 struct ramp_options {
-  /// First output later than this many times the usual counts as a jump.
+  /// A first output that takes longer than the smoothed latency times this
+  /// factor is a latency jump.
   double jump_factor = 8.0;
-  /// First outputs sooner than this never count as a jump.
+  /// First outputs faster than this are never latency jumps.
   duration jump_floor = std::chrono::milliseconds(500);
-  /// Pause after the second failure in a row; doubled for each further one.
+  /// Pause after the second consecutive failure; doubled for each further one.
   duration pause = std::chrono::milliseconds(500);
   duration max_pause = std::chrono::seconds(8);
 };
@@ -32,44 +33,47 @@
   return "cold";
 }
 
-/// Identifies the period between two cuts of a ramp.
+/// Identifies the period between two reductions of the limit.
 using ramp_epoch = strong_type<struct ramp_epoch_tag, std::uint64_t>;
 
-/// Starts at `cold_slots` and doubles whenever as many requests as the limit
-/// were answered well. Answers to requests admitted before the last cut are no
-/// evidence. Any sign of a cold or failing target cuts the limit.
+/// The limit starts at `cold_slots` and doubles after as many successful
+/// requests as the current limit. Results of requests admitted before the last
+/// reduction are ignored. A failure, or a sign that the target has become cold,
+/// reduces the limit.
 ///
 /// Invariant: 1 <= limit() <= slots; limit() <= cold_slots right after start
-/// and after each cut.
+/// and after each reduction.
 class admission_ramp {
  public:
   admission_ramp(std::uint32_t slots,
                  std::uint32_t cold_slots,
                  ramp_options options = {});
 
-  /// The target has said that it bears other numbers; keeps the evidence.
+  /// Applies new capacities announced by the target; keeps the collected
+  /// results.
   void Resize(std::uint32_t slots, std::uint32_t cold_slots);
-  /// Back to cold, as for a new incarnation.
+  /// Returns to the cold state, as for a new incarnation.
   void Reset();
 
-  /// First output after `latency`. A jump over the usual latency is a sign
-  /// that the target has turned cold. Returns true if the limit was cut.
+  /// Records the latency of a first output. A jump above the smoothed latency
+  /// indicates that the target has become cold. Returns true if the limit was
+  /// reduced.
   bool OnFirstOutput(ramp_epoch admission_epoch, duration latency);
-  /// A request was answered in full. Returns true if the limit rose.
+  /// Records a fully answered request. Returns true if the limit was raised.
   bool OnSuccess(ramp_epoch admission_epoch);
-  /// Several requests were answered in full.
+  /// Records several fully answered requests.
   void OnSuccesses(ramp_epoch admission_epoch, std::uint32_t count);
-  /// Somebody else has found that the target turned cold.
+  /// Applies a latency jump detected by another router.
   void OnLatencyJump(ramp_epoch admission_epoch);
-  /// Somebody else has evidence for a larger limit.
+  /// Raises the limit on evidence collected elsewhere.
   void RaiseTo(std::uint32_t limit);
-  /// A refusal, timeout or broken connection.
+  /// Records a refusal, a timeout or a broken connection.
   void OnFailure(ramp_epoch admission_epoch, time_point now);
 
   [[nodiscard]] std::uint32_t limit() const { return limit_; }
   [[nodiscard]] ramp_epoch epoch() const { return epoch_; }
   [[nodiscard]] ramp_phase phase() const;
-  /// No admissions before this time.
+  /// No requests are admitted before this time.
   [[nodiscard]] time_point paused_until() const { return paused_until_; }
 
  private:
@@ -83,7 +87,7 @@
   std::uint32_t consecutive_failures_ = 0;
   ramp_epoch epoch_{1};
   time_point paused_until_{};
-  /// Smoothed latency of first outputs while warm; zero until known.
+  /// Smoothed latency of first outputs in seconds; zero until measured.
   double smoothed_first_output_s_ = 0;
 };
 
--- a/src/targets/announcement_codec.h
+++ b/src/targets/announcement_codec.h
@@ -1,4 +1,4 @@
-// Announcements as they travel between daemons.
+// Serialization of announcements exchanged between daemons.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -10,7 +10,7 @@
 void to_json(nlohmann::json& j, const load_report& l);
 void from_json(const nlohmann::json& j, load_report& l);
 void to_json(nlohmann::json& j, const announcement& a);
-/// Throws if the value breaks an invariant of announcements.
+/// Throws if the value violates an invariant of `announcement`.
 void from_json(const nlohmann::json& j, announcement& a);
 
 }  // namespace burdocklock::targets
--- a/src/targets/announcement_parser.h
+++ b/src/targets/announcement_parser.h
@@ -1,4 +1,4 @@
-// Reads announcement bodies.
+// Parses announcements sent by targets.
 #pragma once
 
 #include <string_view>
@@ -8,8 +8,8 @@
 
 namespace burdocklock::targets {
 
-/// Parses and checks the JSON body of an announcement. Unknown members are
-/// ignored, so that targets can be newer than the daemon.
+/// Parses and validates the JSON body of an announcement. Unknown members are
+/// ignored, so that targets may run a newer version than the daemon.
 result<announcement> ParseAnnouncement(std::string_view body);
 
 }  // namespace burdocklock::targets
--- a/src/targets/cold_admission.h
+++ b/src/targets/cold_admission.h
@@ -1,4 +1,4 @@
-// How many requests a second a cold target gets from this router.
+// Rate limiting of requests to cold targets.
 #pragma once
 
 #include <cstdint>
@@ -9,27 +9,30 @@
 
 namespace burdocklock::targets {
 
-/// What targets of a pool bear while they are cold.
+/// Limits for cold targets of a pool.
 struct cold_limits {
-  /// Requests a second, from all routers together; zero if they never are cold.
+  /// Requests per second from all routers together; zero if targets of the pool
+  /// are never cold.
   double rate = 0;
-  /// How long they are cold after a return to service.
+  /// How long targets stay cold after their data centre returns to service.
   duration time{};
 };
 
-/// Routers that may use one cold target at a time. Each may send one request
-/// beyond its share of the rate, so this bounds the burst of them all.
+/// Maximum number of routers that use one cold target at a time. Each may send
+/// one request in excess of its share of the rate, so this bounds the total
+/// burst.
 inline constexpr std::size_t kRoutersPerColdTarget = 4;
 
-/// This router's share of a cold target's rate: zero unless it is among the
-/// routers chosen for that target. All routers that know the same list agree.
+/// Returns this router's fraction of a cold target's rate; zero unless the
+/// router is among those selected for the target. Routers with the same router
+/// list compute the same selection.
 double ColdRateShare(const target_id& target,
                      const daemon_id& self,
                      const std::vector<daemon_id>& routers);
 
-/// A bucket of one token.
+/// Token bucket with a capacity of one token.
 ///
-/// Invariant: at most 1 + rate * t requests are admitted in any time t.
+/// Invariant: at most 1 + rate * t requests are admitted in any interval t.
 class cold_bucket {
  public:
   [[nodiscard]] bool HasToken(double rate, time_point now) const;
--- a/src/targets/internal/admission_ramp.cc
+++ b/src/targets/internal/admission_ramp.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Weight of the newest sample in the smoothed first-output latency.
+// Weight of the latest sample in the smoothed first-output latency.
 constexpr double kLatencySmoothing = 0.1;
-// Failures in a row after which admission pauses.
+// Number of consecutive failures after which admission pauses.
 constexpr std::uint32_t kFailuresBeforePause = 2;
 constexpr std::uint32_t kMaxPauseDoublings = 10;
 
--- a/src/targets/internal/prefix_memory.cc
+++ b/src/targets/internal/prefix_memory.cc
@@ -36,7 +36,8 @@
 }
 
 void prefix_memory::RecordSent(const prompt& prompt) {
-  // The first parts last, as they are shared by most.
+  // Touches the leading parts last, because they are shared by the most prompts
+  // and should be evicted last.
   for (auto part = prompt.parts.rbegin(); part != prompt.parts.rend(); ++part) {
     Touch(*part);
   }
--- a/src/targets/internal/prompt_placement.cc
+++ b/src/targets/internal/prompt_placement.cc
@@ -1,5 +1,5 @@
-// Where a prompt is sent: to the target that will probably begin to answer it
-// first. See target_directory.h.
+// Selects the target with the shortest expected time to first output for a
+// prompt. See target_directory.h.
 #include <algorithm>
 #include <array>
 #include <functional>
@@ -12,33 +12,35 @@
 
 namespace {
 
-// What a running request costs its neighbours, in prompt tokens to be read: its
-// share of the steps that are lengthened by it.
+// Costs are expressed in prompt tokens to process.
+// Cost of a running request to the other requests of its target: it lengthens
+// the steps that it takes part in.
 constexpr double kRunningRequestCost = 120;
-// What the way to another data centre costs, in prompt tokens to be read.
+// Cost of sending a request to another data centre.
 constexpr double kRemoteDataCentreCost = 400;
-// Targets that all routers prefer for prompts of one kind.
+// Number of targets that all routers prefer for prompts with the same shared
+// prefix.
 constexpr std::size_t kPreferredTargets = 2;
-// Part of a shared prefix that these probably keep, although this router may
-// not have sent it there.
+// Fraction of a shared prefix that each preferred target is expected to have
+// cached, even if this router has not sent the prefix there.
 constexpr std::array<double, kPreferredTargets> kPreferredCachedFraction = {
     0.95, 0.4};
-// What a copy of parts from another target costs, in prompt tokens to be read:
-// to begin with, and for each token.
+// Cost of copying cached parts from another target: a fixed cost and a cost per
+// token.
 constexpr double kCopyBaseCost = 150;
 constexpr double kCopyCostPerToken = 0.4;
-// Less than this is read sooner than copied.
+// Fewer tokens than this are faster to process than to copy.
 constexpr std::uint32_t kMinCopiedTokens = 256;
-// Shared parts of this size are worth some waiting for a target that keeps
-// them.
+// Minimum size of shared parts for which it pays to wait for a target that has
+// them cached.
 constexpr std::uint32_t kMinTokensWorthWaiting = 1000;
-// What targets may have waiting to be read, as time that they take for it.
+// Maximum backlog of unread prompt tokens at a target, as processing time.
 constexpr double kMaxBacklogMs = 250;
-// Part of that up to which a target has room to spare.
+// Fraction of the maximum backlog below which a target has spare capacity.
 constexpr double kSpareFraction = 0.3;
 
-// Id of the last part that other prompts share; the one after it belongs to
-// the request itself.
+// Returns the id of the last part shared with other prompts; the part after it
+// belongs to the request itself.
 std::uint64_t SharedKey(const prompt& prompt) {
   const std::size_t parts = prompt.parts.size();
   if (parts == 0) {
@@ -112,8 +114,8 @@
   double copy_cost = 0;
   const prefix_holder& other =
       holders[0].target != &candidate ? holders[0] : holders[1];
-  // Also named where it should not be needed: what the target keeps is only
-  // supposed.
+  // The source is set even if no copy should be needed, because the contents of
+  // the target's cache are only estimated.
   placed.source = other.target;
   if (other.tokens >= held + kMinCopiedTokens) {
     placed.copied = other.tokens - held;
@@ -134,7 +136,7 @@
     return best;
   }
   for (const entry* entry : entries->second) {
-    // Callers may say that the parts are longer than the prompt.
+    // Callers may declare parts that are longer than the prompt.
     const prefix_holder held{
         .target = entry,
         .tokens = std::min(entry->prefixes.ProcessedTokens(prompt),
@@ -222,7 +224,8 @@
   if (urgency.spare_only) {
     return own + others + unread <= limit * kSpareFraction || own + others == 0;
   }
-  // Within its own part a router need not know what others have just sent.
+  // Within its own fraction of the limit a router does not depend on up-to-date
+  // load reports of the other routers.
   if (own + unread <= limit * own_part_) {
     return true;
   }
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -1,5 +1,5 @@
-// The choice among targets for calls without a prompt, and what is known of the
-// targets' load. See target_directory.h.
+// Target selection for requests without a prompt, and tracking of target load.
+// See target_directory.h.
 #include <algorithm>
 #include <limits>
 #include <utility>
@@ -10,13 +10,14 @@
 
 namespace {
 
-// Weight of the newest observation of a target's speed.
+// Weight of the latest sample in a target's smoothed processing rate.
 constexpr double kRateSmoothing = 0.05;
-// Shorter prompts say little about the speed.
+// Minimum number of tokens for a sample; shorter prompts measure the processing
+// rate poorly.
 constexpr std::uint64_t kMinSampleTokens = 4000;
 constexpr double kMinTokensPerMs = 5;
 constexpr double kMaxTokensPerMs = 400;
-// Part of a target's memory that running requests leave for kept parts.
+// Fraction of a target's KV cache that running requests leave for cached parts.
 constexpr double kCachedFraction = 0.4;
 
 std::uint64_t CacheCapacity(std::uint64_t memory) {
@@ -219,8 +220,8 @@
   if (!entry.announced.cold_for) {
     return;
   }
-  // A word about coldness takes the place of the ramp: what is not cold bears
-  // all its slots, unless it has failed since.
+  // A target that announces its cold period does not need the ramp: outside
+  // that period it can take all its slots, unless it has failed since.
   if (entry.ramp.epoch() == admission_ramp(1, 1).epoch()) {
     entry.ramp.RaiseTo(entry.announced.slots);
   }
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -56,7 +56,7 @@
   if (announcement.load && known.announced.load) {
     return announcement.load->at_ms <= known.announced.load->at_ms;
   }
-  // Without a time to order them by, leaving is final within an incarnation.
+  // Reports that cannot be ordered: leaving is final within an incarnation.
   return known.announced.state == target_state::kLeaving &&
          announcement.state != target_state::kLeaving;
 }
@@ -66,7 +66,7 @@
   known.announced = announcement;
   known.ramp = admission_ramp(announcement.slots, announcement.cold_slots,
                               options_.ramp);
-  // Grants of the earlier incarnation died with it.
+  // Grants of the previous incarnation ended with it.
   known.in_flight = 0;
   known.unread.clear();
   known.unread_tokens = 0;
@@ -148,7 +148,7 @@
     }
     if (!entry.silence_reported && since_heard >= options_.silence) {
       entry.silence_reported = true;
-      // It may have restarted unseen.
+      // The target may have restarted during the silence.
       entry.ramp.Reset();
       silent.push_back(it->first);
     }
@@ -163,7 +163,8 @@
   const time_point heard_deadline =
       entry.last_heard +
       (entry.silence_reported ? options_.retention : options_.silence);
-  // Past the retention period it is kept only for requests still in flight.
+  // After the retention period the entry is kept only for requests still in
+  // flight.
   const time_point next =
       heard_deadline > now ? heard_deadline : now + options_.silence;
   const time_point resume = entry.ramp.paused_until();
@@ -216,7 +217,7 @@
   RemoveUnread(*known, grant.number);
   if (options_.leased) {
     ++EvidenceOf(grant).bad;
-    // Nothing new until the lessor has judged the failure.
+    // No new requests until the lessor has processed the failure report.
     known->lease_limit = 0;
   }
   known->ramp.OnFailure(grant.epoch, now);
--- a/src/targets/internal/target_leases.cc
+++ b/src/targets/internal/target_leases.cc
@@ -1,5 +1,5 @@
-// Slots that the directory may use by leases, and the evidence that it owes the
-// lessor. See target_directory.h.
+// Leased slots, and the results to be reported to the lessor. See
+// target_directory.h.
 #include <algorithm>
 
 #include "targets/target_directory.h"
--- a/src/targets/prefix_memory.h
+++ b/src/targets/prefix_memory.h
@@ -1,4 +1,5 @@
-// Which parts of prompts a target probably keeps, from what was sent there.
+// Estimates the contents of a target's prefix cache from the prompts sent to
+// it.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +13,23 @@
 
 namespace burdocklock::targets {
 
-/// Least recently used parts yield, as they do at the target.
+/// Evicts the least recently used parts, as the target does.
 ///
-/// Invariant: the tokens of all parts held are at most the capacity, unless
-/// there is one part only.
+/// Invariant: the parts add up to at most the capacity, unless there is only
+/// one.
 class prefix_memory {
  public:
   explicit prefix_memory(std::uint64_t capacity_tokens)
       : capacity_(capacity_tokens) {}
 
-  /// Tokens of the leading parts that are held without a gap, or will be once
-  /// what was sent before is read.
+  /// Returns the tokens of the contiguous leading parts that are cached, or
+  /// will be once the prompts sent earlier are processed.
   [[nodiscard]] std::uint32_t CachedTokens(const prompt& prompt) const;
-  /// As above, of parts that have been read already.
+  /// As above, but counts only parts that are already processed.
   [[nodiscard]] std::uint32_t ProcessedTokens(const prompt& prompt) const;
-  /// The target has been sent this prompt.
+  /// Records that this prompt was sent to the target.
   void RecordSent(const prompt& prompt);
-  /// The target has read these parts.
+  /// Records that the target has processed these parts.
   void MarkProcessed(const std::vector<prompt_part>& parts);
   void Clear();
   [[nodiscard]] std::uint64_t capacity() const { return capacity_; }
--- a/src/targets/rendezvous.h
+++ b/src/targets/rendezvous.h
@@ -1,5 +1,6 @@
-// Rendezvous hashing: everybody who knows the same names agrees on who comes
-// first for a key, and a name that comes or goes moves only its own keys.
+// Rendezvous hashing: all hosts with the same set of names rank them equally
+// for a key, and adding or removing a name reassigns only the keys of that
+// name.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +8,7 @@
 
 namespace burdocklock::targets {
 
-/// Weight of `name` for `key`; the largest comes first.
+/// Returns the weight of `name` for `key`; names rank by descending weight.
 std::uint64_t RendezvousWeight(std::string_view key, std::string_view name);
 std::uint64_t RendezvousWeight(std::uint64_t key, std::string_view name);
 
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -1,5 +1,5 @@
-// The targets a daemon knows, what it has in flight at each, and the choice
-// among them.
+// Directory of known targets. Tracks their state and the requests in flight,
+// and selects targets for new requests.
 #pragma once
 
 #include <array>
@@ -25,15 +25,16 @@
 
 struct directory_options {
   data_centre_id local_data_centre;
-  /// A target silent for this time gets no new work.
+  /// A target that has not announced itself for this long receives no new
+  /// requests.
   duration silence = std::chrono::seconds(6);
-  /// A target silent for this time is forgotten.
+  /// A target that has not announced itself for this long is removed.
   duration retention = std::chrono::minutes(10);
-  /// Limits come from leases (`ApplyLeases`) instead of this directory's own
-  /// ramps.
+  /// Whether limits come from leases (`ApplyLeases`) instead of this
+  /// directory's own ramps.
   bool leased = false;
   ramp_options ramp;
-  /// Name of this router, for its share of cold targets.
+  /// Name of this router, used to compute its share of cold targets.
   daemon_id self;
 };
 
@@ -53,32 +54,32 @@
   return "stale";
 }
 
-/// Permission to hold one request at a target; given back exactly once.
+/// Permission to run one request at a target; must be released exactly once.
 struct slot_grant {
   target_id target;
   incarnation life;
   endpoint address;
   ramp_epoch epoch;
   data_centre_id data_centre;
-  /// Epoch of the lessor's ramp; evidence is reported under it.
+  /// Epoch of the lessor's ramp that results are reported for.
   ramp_epoch lease_epoch;
-  /// Names the grant among those of its target.
+  /// Unique among the grants of a target.
   std::uint64_t number = 0;
-  /// Prompt tokens that the target had to read before the first output, those
-  /// of earlier requests included.
+  /// Prompt tokens that the target had to process before the first output,
+  /// including those of earlier requests.
   std::uint64_t tokens_ahead = 0;
 };
 
-/// Slots of one target that may be used.
+/// Leased slots of one target.
 struct target_lease {
   announcement target;
   std::uint32_t limit = 0;
-  /// The lessor's ramp limit, for its successor.
+  /// The lessor's ramp limit; lets a successor of the lessor resume from it.
   std::uint32_t ramp_limit = 0;
   ramp_epoch epoch;
 };
 
-/// What was seen of a target under one epoch of the lessor's ramp.
+/// Request results observed at a target during one epoch of the lessor's ramp.
 struct lease_evidence {
   target_id target;
   incarnation life;
@@ -88,29 +89,30 @@
   bool first_output_jumped = false;
 };
 
-/// Which targets a generation may go to.
+/// Restricts the targets that a generation may be sent to.
 struct prompt_urgency {
-  /// Only those that probably keep its shared parts, if it has many.
+  /// Only targets that probably have its shared parts cached, if these are
+  /// large.
   bool agreed_only = false;
-  /// Only those that have hardly anything else to read.
+  /// Only targets with a small backlog of unread prompt tokens.
   bool spare_only = false;
 };
 
 struct choice {
   slot_grant grant;
-  /// Targets compared, the chosen one first.
+  /// The targets that were compared, the selected one first.
   std::vector<target_id> considered;
-  /// Of a generation: prompt tokens that the target probably has to read, and
-  /// those of others before it.
+  /// For a generation: the estimated prompt tokens that the target has to
+  /// process, and those of other requests queued before it.
   std::uint32_t unread_tokens = 0;
   std::uint64_t tokens_before = 0;
-  /// Another target from which the chosen one can copy part of the prompt
-  /// instead of reading it, and how many tokens.
+  /// Another target from which the selected one can copy cached parts of the
+  /// prompt instead of processing them, and how many tokens.
   std::optional<endpoint> copy_from;
   std::uint32_t copied_tokens = 0;
 };
 
-/// One target as operators see it.
+/// State of one target as shown to operators.
 struct target_view {
   announcement announced;
   std::uint32_t in_flight = 0;
@@ -123,78 +125,84 @@
   duration since_heard{};
 };
 
-/// Invariants: in_flight of a target never exceeds its ramp limit at the time
-/// of admission; a target that is not ready, silent, paused or in a data
-/// centre that is out gets no grant.
+/// Invariants: the requests in flight at a target never exceed its limit at the
+/// time of admission; no grant is issued for a target that is not ready,
+/// silent, paused or in a data centre out of service.
 class target_directory {
  public:
   target_directory(directory_options options, i_random& random);
 
   announce_result Announce(const announcement& announcement, time_point now);
-  /// Takes a data centre out of service for new work, or back in. On return
-  /// its targets count as cold.
+  /// Takes a data centre out of service for new requests, or returns it to
+  /// service. After the return its targets are treated as cold.
   void SetDataCentreOut(const data_centre_id& data_centre,
                         bool out,
                         time_point now);
   [[nodiscard]] bool IsDataCentreOut(const data_centre_id& data_centre) const;
   [[nodiscard]] std::vector<data_centre_id> OutOfService() const;
 
-  /// Targets that fell silent since the last call. Forgets those that have
-  /// been silent for the retention period.
+  /// Returns the targets that have become silent since the last call. Removes
+  /// those that have been silent for the retention period.
   std::vector<target_id> CollectSilent(time_point now);
-  /// No target falls silent and no pause ends before this time.
+  /// No target becomes silent and no pause ends before this time.
   [[nodiscard]] time_point next_deadline() const { return next_deadline_; }
 
-  /// Chooses a target of the pool that bears one more request: the better of
-  /// two at random in the local data centre, else the same elsewhere. Targets
-  /// in `excluded` are taken only if no other target of the pool is usable.
+  /// Selects a target of the pool that has a free slot: the less loaded of two
+  /// random targets in the local data centre, else of two in other data
+  /// centres. Targets in `excluded` are used only if no other target of the
+  /// pool is usable.
   std::optional<choice> Choose(const pool_id& pool,
                                const std::vector<target_id>& excluded,
                                time_point now);
-  /// As above for a generation: the target that will probably begin to answer
-  /// first, from the prompts that it has yet to read and those that it keeps.
+  /// As above for a generation: selects the target with the shortest expected
+  /// time to first output, given its backlog of prompts and the parts that it
+  /// has cached.
   std::optional<choice> ChooseForPrompt(const pool_id& pool,
                                         const std::vector<target_id>& excluded,
                                         const prompt& prompt,
                                         prompt_urgency urgency,
                                         time_point now);
-  /// What targets of the pool bear while cold.
+  /// Sets the limits for cold targets of the pool.
   void SetColdTerms(const pool_id& pool, const cold_limits& terms);
-  /// Tokens that a target of the pool keeps.
+  /// Sets the KV cache size of targets of the pool, in tokens.
   void SetMemory(const pool_id& pool, std::uint64_t tokens);
-  /// Whether targets of the pool copy parts of prompts from each other.
+  /// Sets whether targets of the pool can copy cached prompt parts from each
+  /// other.
   void SetCopying(const pool_id& pool, bool copies);
-  /// The routers that share the targets, this one included.
+  /// Sets the routers that share the targets, including this one.
   void SetRouters(std::vector<daemon_id> routers);
-  /// Work of the other routers at each target.
+  /// Sets the load of the other routers at each target.
   void SetOthersLoad(const std::vector<admission::target_load>& others);
-  /// This router's part of the prompt tokens that a target may have waiting.
+  /// Sets this router's fraction of a target's maximum prompt backlog, 0 to 1.
   void SetOwnPart(double part) { own_part_ = part; }
-  /// Prompt tokens that targets were sent to read, since the start.
+  /// Total number of prompt tokens sent to targets for processing.
   [[nodiscard]] std::uint64_t granted_tokens() const { return granted_tokens_; }
-  /// Own work at each target that has any.
+  /// Returns the load of this router at each target that it uses.
   [[nodiscard]] std::vector<admission::target_load> OwnLoad() const;
-  /// Another process answers at the target's address.
+  /// Records that another process answers at the target's address.
   void NoteGone(const slot_grant& grant);
-  /// Nothing can be heard of any target at present: silence means nothing.
+  /// Restarts the silence timers; used while announcements cannot be received
+  /// from any target.
   void ExcuseSilence(time_point now);
 
-  /// Evidence on a granted slot; `Release*` also gives it back.
-  /// Returns true if the target was found to have turned cold.
+  /// Records the first output of a granted request. Returns true if the target
+  /// was found to have become cold.
   bool ReportFirstOutput(const slot_grant& grant, duration latency);
-  /// Returns true if the target's limit rose.
+  /// Releases the slot of a successful request. Returns true if the target's
+  /// limit was raised.
   bool ReleaseGood(const slot_grant& grant);
   void ReleaseBad(const slot_grant& grant, time_point now);
-  /// The request ended for reasons that say nothing about the target.
+  /// Releases the slot of a request that ended for reasons unrelated to the
+  /// target.
   void ReleaseNeutral(const slot_grant& grant);
 
-  /// Replaces the leases on targets of one data centre; they hold until
+  /// Replaces the leases on targets of one data centre; they expire at
   /// `valid_until`.
   void ApplyLeases(const data_centre_id& data_centre,
                    const std::vector<target_lease>& leases,
                    time_point valid_until,
                    time_point now);
-  /// What this router holds of that data centre's targets.
+  /// A lease that this router holds on a target.
   struct held_lease {
     target_id target;
     incarnation life;
@@ -204,20 +212,22 @@
   };
   [[nodiscard]] std::vector<held_lease> Leases(
       const data_centre_id& data_centre) const;
-  /// The lessor should learn something at once: a failure, enough good answers
-  /// to raise a limit, or that a revoked slot has become free.
+  /// Returns whether there are results to report to the lessor at once: a
+  /// failure or latency jump, enough successes to raise a limit, or a revoked
+  /// slot that has become free.
   [[nodiscard]] bool HasUrgentEvidence() const;
-  /// Gives up idle leased slots of the pool; true if there were any.
+  /// Gives up idle leased slots of the pool. Returns whether there were any.
   bool ReturnIdle(const pool_id& pool);
-  /// What was seen since the last call of targets in that data centre.
+  /// Returns and clears the results collected for targets of the data centre.
   std::vector<lease_evidence> TakeEvidence(const data_centre_id& data_centre);
-  /// Leased slots of the pool that are free now.
+  /// Returns the number of free leased slots of the pool.
   [[nodiscard]] std::uint32_t FreeLeased(const pool_id& pool,
                                          time_point now) const;
-  /// Slots that lessors have for the pool; decides whether waiting can help.
+  /// Sets the number of slots that lessors have for the pool; without any,
+  /// requests need not wait.
   void SetPoolCapacity(const pool_id& pool, std::uint32_t slots);
 
-  // Evidence collected by others, for a directory that leases slots out.
+  // Results reported by routers to a directory that leases slots out.
   void NoteGood(const target_id& target,
                 incarnation life,
                 ramp_epoch epoch,
@@ -232,21 +242,23 @@
                   std::uint32_t limit);
 
   [[nodiscard]] std::vector<pool_id> Pools() const;
-  /// Targets of the pool, usable or not, in order of their names.
+  /// Returns all targets of the pool, usable or not, sorted by name.
   [[nodiscard]] std::vector<const announcement*> OfPool(
       const pool_id& pool) const;
   [[nodiscard]] bool IsUsable(const target_id& target, time_point now) const;
-  /// The target's announcement if it is in that life; nullptr otherwise.
+  /// Returns the target's announcement if it is of that incarnation; nullptr
+  /// otherwise.
   [[nodiscard]] const announcement* FindLife(const target_id& target,
                                              incarnation life) const;
-  /// Since when the target has announced itself without a gap of half the
-  /// silence limit; kNever if it is not known.
+  /// Returns the time since which the target has announced itself without gaps
+  /// longer than half the silence limit; kNever if the target is unknown.
   [[nodiscard]] time_point HeardSince(const target_id& target) const;
   [[nodiscard]] ramp_epoch RampEpoch(const target_id& target) const;
 
-  /// True if some target of the pool can take work, now or once a slot frees.
+  /// Returns whether the pool has a target that can take requests, now or once
+  /// a slot is released.
   [[nodiscard]] bool HasUsable(const pool_id& pool, time_point now) const;
-  /// Slots that ramp limits allow over usable targets of the pool.
+  /// Returns the sum of the ramp limits of the usable targets of the pool.
   [[nodiscard]] std::uint32_t UsableSlots(const pool_id& pool,
                                           time_point now) const;
 
@@ -264,55 +276,57 @@
     admission_ramp ramp;
     std::uint32_t in_flight = 0;
     time_point last_heard;
-    /// Start of the present run of announcements without a long gap.
+    /// Start of the current series of announcements without long gaps.
     time_point heard_since;
     bool silence_reported = false;
     std::uint32_t lease_limit = 0;
     std::uint32_t lease_ramp_limit = 0;
     ramp_epoch lease_epoch;
     time_point lease_until{};
-    /// The target is cold until then.
+    /// The target is cold until this time.
     time_point cold_until{};
     cold_bucket cold;
     prefix_memory prefixes{0};
-    /// What is still to be read of each grant whose output has not begun.
+    /// Prompts that the target has yet to process, by grant number. Removed on
+    /// first output.
     std::unordered_map<std::uint64_t, unread_prompt> unread;
     std::uint64_t unread_tokens = 0;
     std::uint32_t remote_in_flight = 0;
     std::uint64_t remote_unread_tokens = 0;
-    /// Prompt tokens that the target reads in a millisecond, as observed.
+    /// Measured processing rate of prompt tokens.
     double tokens_per_ms = kDefaultTokensPerMs;
     bool replaced = false;
   };
-  /// Of current engines; replaced by what is observed.
+  /// Initial value, typical of current engines; adjusted by measurements.
   static constexpr double kDefaultTokensPerMs = 55;
   struct candidates {
     std::vector<entry*> local;
     std::vector<entry*> remote;
-    /// Usable only because nobody else is.
+    /// Excluded targets; used only if no other target is usable.
     std::vector<entry*> last_resort;
   };
 
   [[nodiscard]] candidates Candidates(const pool_id& pool,
                                       const std::vector<target_id>& excluded,
                                       time_point now);
-  /// What sending a prompt to one target would mean.
+  /// Evaluation of sending a prompt to one target.
   struct placement {
     entry* target = nullptr;
-    /// Prompt tokens that it would have to read.
+    /// Prompt tokens that the target would have to process.
     std::uint32_t unread = 0;
-    /// Prompt tokens that it would copy from `source`.
+    /// Prompt tokens that the target would copy from `source`.
     std::uint32_t copied = 0;
-    /// Keeps part of the prompt, in case the target does not.
+    /// Another target that has part of the prompt cached.
     const entry* source = nullptr;
     double cost = std::numeric_limits<double>::max();
   };
-  /// How much of a prompt some target keeps.
+  /// How much of a prompt a target has cached.
   struct prefix_holder {
     const entry* target = nullptr;
     std::uint32_t tokens = 0;
   };
-  /// The two that keep most of a prompt; one of them may be chosen itself.
+  /// The two targets with the most of a prompt cached. Two, because one of them
+  /// may be the candidate itself.
   using best_holders = std::array<prefix_holder, 2>;
 
   [[nodiscard]] placement EvaluatePlacement(
@@ -320,9 +334,9 @@
       const prompt& prompt,
       const std::vector<const entry*>& preferred,
       const best_holders& holders) const;
-  /// The usable targets that have read most of the prompt, as far as this
-  /// router has sent it there; none if targets of the pool do not copy from
-  /// each other.
+  /// Returns the usable targets that have processed most of the prompt, judging
+  /// by what this router sent them; none if targets of the pool do not copy
+  /// from each other.
   [[nodiscard]] best_holders BestHolders(const pool_id& pool,
                                          const prompt& prompt,
                                          time_point now) const;
@@ -335,7 +349,7 @@
                time_point now);
   [[nodiscard]] double PlacementCost(const entry& entry,
                                      std::uint32_t unread) const;
-  /// Prompt tokens that the target probably keeps.
+  /// Estimates the prompt tokens that the target has cached.
   [[nodiscard]] static std::uint32_t EstimateCachedTokens(
       const entry& entry,
       const prompt& prompt,
@@ -343,7 +357,7 @@
   [[nodiscard]] bool HasProcessingRoom(const entry& entry,
                                        std::uint32_t unread,
                                        prompt_urgency urgency) const;
-  /// The targets to which all routers send prompts of that key first.
+  /// Returns the targets that all routers prefer for prompts with this key.
   [[nodiscard]] std::vector<const entry*> PreferredTargets(
       const pool_id& pool,
       std::uint64_t key,
@@ -373,7 +387,7 @@
 
   directory_options options_;
   i_random& random_;
-  // Node-based, so that the pointers in the index stay valid.
+  // Node-based container, so that the pointers in `by_pool_` stay valid.
   std::unordered_map<target_id, entry> entries_;
   std::unordered_map<pool_id, std::vector<entry*>> by_pool_;
   std::unordered_map<data_centre_id, bool> data_centres_out_;
@@ -381,15 +395,14 @@
   std::unordered_map<pool_id, std::uint32_t> capacity_;
   std::unordered_map<pool_id, cold_limits> cold_limits_;
   std::unordered_map<pool_id, std::uint64_t> pool_memory_;
-  /// Pools whose targets copy parts of prompts from each other.
+  /// Pools whose targets copy cached prompt parts from each other.
   std::unordered_set<pool_id> copying_pools_;
   std::vector<daemon_id> routers_;
   std::uint64_t last_grant_ = 0;
   double own_part_ = 1;
-  /// Prompt tokens granted so far.
   std::uint64_t granted_tokens_ = 0;
   std::vector<std::pair<data_centre_id, lease_evidence>> evidence_;
-  /// A slot that was to be given back has become free since the last report.
+  /// Whether a revoked slot has become free since the last report.
   bool revoked_slot_freed_ = false;
 };
 
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -1,5 +1,4 @@
-// Where prompts are sent: kept parts, load, copies between targets, cold
-// targets.
+// Prompt placement: cached parts, load, copying between targets, cold targets.
 #include <algorithm>
 #include <optional>
 #include <string>
@@ -18,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Engines of one pool as a router that shares them sees them.
+// Directory of one router that shares the engines of a pool with other routers.
 struct prompt_fixture {
   seeded_random random{5};
   time_point now{seconds(1000)};
@@ -74,13 +73,14 @@
   const auto second = Choose(Prompt(7, 500));
   REQUIRE(second.has_value());
   CHECK(second->grant.target == first->grant.target);
-  // Only the request's own part is left to be read.
+  // Only the request's own part has to be processed.
   CHECK(second->unread_tokens == 500);
 }
 
-TEST_CASE_METHOD(prompt_fixture,
-                 "placement: routers that never spoke: agree on a session's "
-                 "target") {
+TEST_CASE_METHOD(
+    prompt_fixture,
+    "placement: routers without contact: prefer the same target for "
+    "a session") {
   AnnounceThree();
   const auto here = Choose(Prompt(7, 500));
   prompt_fixture other;
@@ -91,8 +91,8 @@
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "placement: targets have much to read: nothing more is sent "
-                 "until output begins") {
+                 "placement: targets have a full backlog: no more prompts are "
+                 "sent until output begins") {
   AnnounceThree();
   std::vector<slot_grant> sent;
   for (std::uint64_t session = 1; session <= 60; ++session) {
@@ -111,8 +111,9 @@
   CHECK(Choose(Prompt(100, 6000)).has_value());
 }
 
-TEST_CASE_METHOD(prompt_fixture,
-                 "placement: others' work is known: their target is avoided") {
+TEST_CASE_METHOD(
+    prompt_fixture,
+    "placement: a target is loaded by other routers: it is avoided") {
   AnnounceThree();
   for (std::uint64_t session = 1; session <= 20; ++session) {
     const auto free_choice = Choose(Prompt(session, 200));
@@ -129,8 +130,8 @@
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "placement: customer over its share: only targets with room "
-                 "to spare") {
+                 "placement: customer over its share: only targets with "
+                 "spare capacity") {
   AnnounceThree();
   directory.SetOthersLoad({{.target = target_id("a"), .unread_tokens = 9000},
                            {.target = target_id("b"), .unread_tokens = 9000},
@@ -140,7 +141,8 @@
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "announcements: numbered, out of order: the latest counts") {
+                 "announcements: numbered, out of order: the latest number "
+                 "applies") {
   Announce("a", 5);
   announcement leaving{.target = target_id("a"),
                        .life = incarnation(1),
@@ -161,8 +163,8 @@
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "other target at the address: no more work until it announces "
-                 "a new life") {
+                 "another process at the address: no new requests until the "
+                 "target announces a new incarnation") {
   Announce("a");
   const auto made = directory.Choose(pool_id("llm"), {}, now);
   REQUIRE(made.has_value());
@@ -170,9 +172,9 @@
   CHECK_FALSE(directory.IsUsable(target_id("a"), now));
 }
 
-// All routers press on one cold target as hard as they may, with lists of
-// routers that differ as they do behind a partition.
-TEST_CASE("cold target: any number of routers: rate holds over all of them") {
+// All routers send to one cold target at the highest rate that they may.
+TEST_CASE(
+    "cold target: any number of routers: total rate stays within the limit") {
   constexpr double kRate = 12;
   constexpr double kBound = kRate * 1.5 + 5;
   for (const std::size_t count : {1U, 2U, 4U, 5U, 12U, 30U}) {
@@ -201,7 +203,7 @@
           });
       REQUIRE(static_cast<double>(within) <= kBound);
     }
-    // It is not starved either.
+    // The target still receives most of the permitted rate.
     CHECK(admitted.size() >= 4 * kRate * 0.8);
   }
 }
@@ -211,7 +213,7 @@
     AnnounceThree();
     directory.SetCopying(pool_id("llm"), true);
   }
-  // A session's first prompt has been read by the target that is returned.
+  // Lets a target process the session's first prompt; returns the target.
   target_id ProcessOnce(std::uint64_t session) {
     const auto made = Choose(Prompt(session, 500));
     REQUIRE(made.has_value());
@@ -225,7 +227,7 @@
 };
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: the keeper is busy: another target copies from it") {
+                 "copying: the holder is busy: another target copies from it") {
   const target_id holder = ProcessOnce(7);
   Load(holder);
   const auto made = Choose(Prompt(7, 500));
@@ -233,12 +235,12 @@
   CHECK(made->grant.target != holder);
   CHECK(made->copied_tokens > 0);
   CHECK(made->copy_from.has_value());
-  // Only the request's own part is left to be read.
+  // Only the request's own part has to be processed.
   CHECK(made->unread_tokens == 500);
 }
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: two keepers: each may lack what the other has") {
+                 "copying: two holders: a source is named in case of a miss") {
   const target_id first = ProcessOnce(7);
   Load(first);
   const target_id second = ProcessOnce(7);
@@ -251,8 +253,8 @@
 }
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: parts said to be longer than the prompt: no more is "
-                 "copied than there is") {
+                 "copying: declared parts longer than the prompt: copies at "
+                 "most the prompt") {
   prompt wrong = Prompt(7, 500);
   const auto first = Choose(wrong);
   REQUIRE(first.has_value());
@@ -279,7 +281,7 @@
 }
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: the keeper is leaving: not a source any more") {
+                 "copying: the holder is leaving: no longer a source") {
   const target_id holder = ProcessOnce(7);
   directory.Announce({.target = holder,
                       .life = incarnation(1),
@@ -304,7 +306,8 @@
   CHECK_FALSE(made->copy_from.has_value());
 }
 
-TEST_CASE("prefix memory: more parts than fit: the least recent yield") {
+TEST_CASE(
+    "prefix memory: more parts than fit: the least recently used is evicted") {
   prefix_memory memory(1000);
   const auto part = [](std::uint64_t id) {
     return prompt{.input_tokens = 400, .parts = {{.id = id, .tokens = 400}}};
@@ -318,7 +321,7 @@
   CHECK(memory.CachedTokens(part(3)) == 400);
 }
 
-TEST_CASE("prefix memory: parts sent and parts read: told apart") {
+TEST_CASE("prefix memory: sent and processed parts: counted separately") {
   prefix_memory memory(1000);
   const prompt sent{
       .input_tokens = 300,
--- a/src/targets/tests/targets_unittest.cc
+++ b/src/targets/tests/targets_unittest.cc
@@ -1,4 +1,4 @@
-// Announcements, ramp and choice of targets.
+// Announcement parsing, admission ramp and target selection.
 #include <algorithm>
 #include <string>
 
@@ -36,7 +36,7 @@
 };
 
 TEST_CASE_METHOD(announcement_fixture,
-                 "announcement: whole body: all members are read") {
+                 "announcement: complete body: all members are parsed") {
   const auto parsed = ParseAnnouncement(body.dump());
   REQUIRE(parsed.has_value());
   CHECK(parsed.value().target == target_id("lamp-llm-1"));
@@ -46,7 +46,7 @@
 }
 
 TEST_CASE_METHOD(announcement_fixture,
-                 "announcement: a member missing or wrong: rejected") {
+                 "announcement: a missing or invalid member: rejected") {
   const std::string key =
       GENERATE("target", "incarnation", "data_centre", "kind", "address",
                "models", "state", "slots", "cold_slots");
@@ -70,7 +70,7 @@
   CHECK(!ParseAnnouncement(body.dump()).has_value());
 }
 
-TEST_CASE("announcement: any bytes: parsed or rejected, never fatal") {
+TEST_CASE("announcement: arbitrary bytes: parsed or rejected without a crash") {
   rc::prop("no crash", [](const std::string& bytes) {
     const auto parsed = ParseAnnouncement(bytes);
     // RC_ASSERT evaluates both sides of an "or".
@@ -80,8 +80,8 @@
   });
 }
 
-TEST_CASE("ramp: any evidence: limit stays within its bounds") {
-  rc::prop("1 <= limit <= slots; a cut goes to cold_slots or below", [] {
+TEST_CASE("ramp: any sequence of results: limit stays within its bounds") {
+  rc::prop("1 <= limit <= slots; a reduction goes to cold_slots or below", [] {
     const auto slots = *rc::gen::inRange<std::uint32_t>(1, 64);
     const auto cold = *rc::gen::inRange<std::uint32_t>(1, slots + 1);
     admission_ramp ramp(slots, cold);
@@ -111,7 +111,7 @@
   });
 }
 
-TEST_CASE("ramp: first output jumps: cut to cold slots") {
+TEST_CASE("ramp: first output latency jumps: limit drops to cold slots") {
   admission_ramp ramp(16, 2);
   for (int i = 0; i < 30; ++i) {
     ramp.OnFirstOutput(ramp.epoch(), milliseconds(40));
@@ -123,7 +123,7 @@
   CHECK(ramp.limit() == 2);
 }
 
-TEST_CASE("ramp: failures in a row: pauses, then tries again") {
+TEST_CASE("ramp: consecutive failures: admission pauses") {
   admission_ramp ramp(16, 2);
   const time_point now{seconds(1)};
   ramp.OnFailure(ramp.epoch(), now);
@@ -157,7 +157,7 @@
 };
 
 TEST_CASE_METHOD(directory_fixture,
-                 "directory: late report of ready after leaving: ignored") {
+                 "directory: late ready report after leaving: ignored") {
   directory.Announce(Make("t", 1, 10, target_state::kLeaving), now);
   CHECK(directory.Announce(Make("t", 1, 9, target_state::kReady), now) ==
         announce_result::kStale);
@@ -165,15 +165,16 @@
 }
 
 TEST_CASE_METHOD(directory_fixture,
-                 "directory: report of an earlier incarnation: ignored") {
+                 "directory: report of a previous incarnation: ignored") {
   directory.Announce(Make("t", 2, 1, target_state::kReady), now);
   CHECK(directory.Announce(Make("t", 1, 99, target_state::kLeaving), now) ==
         announce_result::kStale);
   CHECK(directory.Choose(pool, {}, now).has_value());
 }
 
-TEST_CASE_METHOD(directory_fixture,
-                 "directory: room in the local data centre: chosen first") {
+TEST_CASE_METHOD(
+    directory_fixture,
+    "directory: free slots in the local data centre: selected first") {
   directory.Announce(Make("far", 1, 1, target_state::kReady, "petaling"), now);
   directory.Announce(Make("near", 1, 1, target_state::kReady), now);
   CHECK(directory.Choose(pool, {}, now)->grant.target == target_id("near"));
@@ -182,8 +183,8 @@
 }
 
 TEST_CASE_METHOD(directory_fixture,
-                 "directory: only excluded target busy elsewhere: not "
-                 "chosen again while another is usable") {
+                 "directory: excluded target: not selected while another is "
+                 "usable, even if that one is full") {
   directory.Announce(Make("a", 1, 1, target_state::kReady), now);
   directory.Announce(Make("b", 1, 1, target_state::kReady), now);
   directory.Choose(pool, {target_id("a")}, now);
@@ -192,7 +193,7 @@
 }
 
 TEST_CASE_METHOD(directory_fixture,
-                 "directory: silent beyond retention: forgotten") {
+                 "directory: silent beyond retention: removed") {
   directory.Announce(Make("t", 1, 1, target_state::kReady), now);
   while (directory.next_deadline() < kNever) {
     now = directory.next_deadline();
@@ -203,36 +204,37 @@
 
 TEST_CASE(
     "directory: any announcements and releases: grants stay within "
-    "what each incarnation bears") {
+    "the slots of each incarnation") {
   rc::prop("in flight <= slots of the incarnation", [] {
-    directory_fixture world;
+    directory_fixture fixture;
     std::vector<slot_grant> grants;
     const auto steps = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 6), rc::gen::inRange(0, 40)));
     for (const auto& [choice, detail] : steps) {
-      world.now += milliseconds(detail);
+      fixture.now += milliseconds(detail);
       if (choice == 0) {
-        world.directory.Announce(
-            world.Make("t" + std::to_string(detail % 3),
-                       static_cast<std::uint64_t>(1 + detail / 13),
-                       static_cast<std::uint64_t>(detail),
-                       detail % 11 == 0 ? target_state::kLeaving
-                                        : target_state::kReady),
-            world.now);
+        fixture.directory.Announce(
+            fixture.Make("t" + std::to_string(detail % 3),
+                         static_cast<std::uint64_t>(1 + detail / 13),
+                         static_cast<std::uint64_t>(detail),
+                         detail % 11 == 0 ? target_state::kLeaving
+                                          : target_state::kReady),
+            fixture.now);
       } else if (choice <= 3) {
-        if (auto choice = world.directory.Choose(world.pool, {}, world.now)) {
+        if (auto choice =
+                fixture.directory.Choose(fixture.pool, {}, fixture.now)) {
           grants.push_back(choice->grant);
         }
       } else if (!grants.empty()) {
         const slot_grant grant = grants.back();
         grants.pop_back();
         if (choice == 4) {
-          world.directory.ReleaseGood(grant);
+          fixture.directory.ReleaseGood(grant);
         } else {
-          world.directory.ReleaseBad(grant, world.now);
+          fixture.directory.ReleaseBad(grant, fixture.now);
         }
       }
-      for (const target_view& view : world.directory.View(world.now)) {
+      for (const target_view& view : fixture.directory.View(fixture.now)) {
         const auto held = std::count_if(
             grants.begin(), grants.end(), [&](const slot_grant& grant) {
               return grant.target == view.announced.target &&
--- a/src/targets/types/prompt.h
+++ b/src/targets/types/prompt.h
@@ -1,4 +1,4 @@
-// The prompt of a generation as far as the choice of a target depends on it.
+// The properties of a prompt that target selection depends on.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace burdocklock::targets {
 
-/// A part of a prompt that targets may keep, such as a session's history.
+/// A part of a prompt that targets may cache, such as a session's history.
 struct prompt_part {
   std::uint64_t id = 0;
   std::uint32_t tokens = 0;
@@ -15,8 +15,8 @@
 struct prompt {
   std::uint32_t input_tokens = 0;
   std::uint32_t max_output_tokens = 0;
-  /// In the order in which they are read; the last one belongs to the request
-  /// itself or to its session.
+  /// In prompt order; the last part belongs to the request itself or to its
+  /// session.
   std::vector<prompt_part> parts;
 };
 
