--- a/src/targets/internal/prompt_placement.cc
+++ b/src/targets/internal/prompt_placement.cc
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Costs are expressed in prompt tokens to process.
+// Placement costs are expressed in prompt tokens to process.
+
 // Cost of a running request to the other requests of its target: it lengthens
 // the steps that it takes part in.
 constexpr double kRunningRequestCost = 120;
