--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-void share_limiter::OnAsked(const customer_id& customer,
-                            double tokens,
-                            time_point now) {
+void share_limiter::OnArrival(const customer_id& customer,
+                              double tokens,
+                              time_point now) {
   customers_[customer].demand.Add(tokens, now);
   if (now - updated_at_ >= kUpdatePeriod) {
     UpdateShare(now);
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -27,7 +27,7 @@
   explicit share_limiter(const pool_id& pool) : pool_(pool) {}
 
   /// Records an arriving request.
-  void OnAsked(const customer_id& customer, double tokens, time_point now);
+  void OnArrival(const customer_id& customer, double tokens, time_point now);
   /// Records a request that was sent to a target.
   void OnBegun(const customer_id& customer, double tokens, time_point now);
   /// Undoes `OnBegun` for a request that certainly was not executed.
--- a/src/admission/tests/admission_unittest.cc
+++ b/src/admission/tests/admission_unittest.cc
@@ -76,7 +76,8 @@
         source.due += source.tokens_per_second * ToSeconds(kStep);
         while (source.due >= kRequestTokens) {
           source.due -= kRequestTokens;
-          routers[source.router].OnAsked(source.customer, kRequestTokens, now);
+          routers[source.router].OnArrival(source.customer, kRequestTokens,
+                                           now);
           if (routers[source.router].IsOver(source.customer, now)) {
             over.push_back(&source);
           } else {
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -72,7 +72,7 @@
   record& record = added->second;
   if (spec.prompt) {
     record.share_tokens = ShareTokens(*spec.prompt);
-    PoolOf(spec.pool).shares.OnAsked(spec.customer, record.share_tokens, now);
+    PoolOf(spec.pool).shares.OnArrival(spec.customer, record.share_tokens, now);
   }
   if (const auto limit = QueueLimitReached(spec)) {
     Apply(record.life.Refuse(*limit), record, now, out);
