--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -28,9 +28,9 @@
   }
 }
 
-void share_limiter::OnBegun(const customer_id& customer,
-                            double tokens,
-                            time_point now) {
+void share_limiter::OnSent(const customer_id& customer,
+                           double tokens,
+                           time_point now) {
   customer_state& state = customers_[customer];
   state.started.Add(tokens, now);
   Refill(state, now);
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -29,8 +29,8 @@
   /// Records an arriving request.
   void OnArrival(const customer_id& customer, double tokens, time_point now);
   /// Records a request that was sent to a target.
-  void OnBegun(const customer_id& customer, double tokens, time_point now);
-  /// Undoes `OnBegun` for a request that certainly was not executed.
+  void OnSent(const customer_id& customer, double tokens, time_point now);
+  /// Undoes `OnSent` for a request that certainly was not executed.
   void OnReturned(const customer_id& customer, double tokens, time_point now);
   /// Replaces the flows of the other routers.
   void SetOthers(const std::vector<customer_flow>& others, time_point now);
--- a/src/admission/tests/admission_unittest.cc
+++ b/src/admission/tests/admission_unittest.cc
@@ -107,7 +107,7 @@
     }
     credit -= kRequestTokens;
     started[source.customer] += kRequestTokens;
-    routers[source.router].OnBegun(source.customer, kRequestTokens, now);
+    routers[source.router].OnSent(source.customer, kRequestTokens, now);
   }
 };
 
--- a/src/routing/internal/request_dispatch.cc
+++ b/src/routing/internal/request_dispatch.cc
@@ -94,7 +94,7 @@
           : record.spec.prompt_tokens * fairness::kUnitsPerPromptToken;
   state.queue.Charge(record.spec.customer, record.charged_prompt);
   if (record.share_tokens > 0 && !is_retry) {
-    state.shares.OnBegun(record.spec.customer, record.share_tokens, now);
+    state.shares.OnSent(record.spec.customer, record.share_tokens, now);
   }
   --totals_.waiting;
   ++totals_.in_flight;
