--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -37,9 +37,9 @@
   state.bucket_tokens -= tokens;
 }
 
-void share_limiter::OnReturned(const customer_id& customer,
-                               double tokens,
-                               time_point now) {
+void share_limiter::OnNotExecuted(const customer_id& customer,
+                                  double tokens,
+                                  time_point now) {
   customer_state& state = customers_[customer];
   state.started.Add(-tokens, now);
   Refill(state, now);
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -31,7 +31,9 @@
   /// Records a request that was sent to a target.
   void OnSent(const customer_id& customer, double tokens, time_point now);
   /// Undoes `OnSent` for a request that certainly was not executed.
-  void OnReturned(const customer_id& customer, double tokens, time_point now);
+  void OnNotExecuted(const customer_id& customer,
+                     double tokens,
+                     time_point now);
   /// Replaces the flows of the other routers.
   void SetOthers(const std::vector<customer_flow>& others, time_point now);
   /// Sets the known capacity of the pool, in tokens per second; zero if
--- a/src/routing/internal/attempt_accounting.cc
+++ b/src/routing/internal/attempt_accounting.cc
@@ -98,7 +98,7 @@
   }
   if (failure.kind == failure_kind::kNotAdmitted && record.share_tokens > 0) {
     PoolOf(record.spec.pool)
-        .shares.OnReturned(record.spec.customer, record.share_tokens, now);
+        .shares.OnNotExecuted(record.spec.customer, record.share_tokens, now);
   }
   --totals_.in_flight;
   if (failure.kind == failure_kind::kOtherTarget) {
