--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -105,7 +105,7 @@
                refill_rate * kBucketSeconds);
 }
 
-bool share_limiter::IsOver(const customer_id& customer, time_point now) {
+bool share_limiter::IsOverShare(const customer_id& customer, time_point now) {
   if (share_ == kNoLimit) {
     return false;
   }
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -43,7 +43,7 @@
   }
 
   /// Returns whether the customer has used up its share for now.
-  [[nodiscard]] bool IsOver(const customer_id& customer, time_point now);
+  [[nodiscard]] bool IsOverShare(const customer_id& customer, time_point now);
   /// Returns this router's fraction of the demand on all routers, 0 to 1.
   [[nodiscard]] double OwnPart(time_point now) const;
   /// Returns this router's flows, to be reported to the other routers.
--- a/src/admission/tests/admission_unittest.cc
+++ b/src/admission/tests/admission_unittest.cc
@@ -78,7 +78,7 @@
           source.due -= kRequestTokens;
           routers[source.router].OnArrival(source.customer, kRequestTokens,
                                            now);
-          if (routers[source.router].IsOver(source.customer, now)) {
+          if (routers[source.router].IsOverShare(source.customer, now)) {
             over.push_back(&source);
           } else {
             Serve(source);
--- a/src/routing/internal/request_dispatch.cc
+++ b/src/routing/internal/request_dispatch.cc
@@ -76,7 +76,7 @@
                                  effects& out) {
   record& record = *Find(request);
   const bool over_share =
-      record.spec.prompt && state.shares.IsOver(record.spec.customer, now);
+      record.spec.prompt && state.shares.IsOverShare(record.spec.customer, now);
   std::optional<targets::choice> choice = ChooseTarget(record, over_share, now);
   if (!choice) {
     // Rooms that others free are not announced here.
@@ -154,7 +154,8 @@
                                      effects& out) {
   record* record = Find(request);
   if (record == nullptr || !record->life.waiting() || !record->spec.prompt ||
-      !PoolOf(record->spec.pool).shares.IsOver(record->spec.customer, now)) {
+      !PoolOf(record->spec.pool)
+           .shares.IsOverShare(record->spec.customer, now)) {
     return;
   }
   Apply(record->life.Refuse(refusal_reason::kOverShare), *record, now, out);
