--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -14,7 +14,8 @@
 constexpr double kOverloadFactor = 1.15;
 // Interval at which the share is recomputed while requests arrive.
 constexpr std::chrono::milliseconds kUpdatePeriod{100};
-// Flows below this many tokens per second are not reported to other routers.
+// LocalFlows below this many tokens per second are not reported to other
+// routers.
 constexpr double kMinReportedRate = 1.0;
 
 }  // namespace
@@ -124,7 +125,7 @@
   return total_demand > 0 ? local_demand / total_demand : 1;
 }
 
-std::vector<customer_flow> share_limiter::Flows(time_point now) const {
+std::vector<customer_flow> share_limiter::LocalFlows(time_point now) const {
   std::vector<customer_flow> flows;
   for (const auto& [customer, state] : customers_) {
     const customer_flow flow{.pool = pool_,
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -47,7 +47,7 @@
   /// Returns this router's fraction of the demand on all routers, 0 to 1.
   [[nodiscard]] double OwnPart(time_point now) const;
   /// Returns this router's flows, to be reported to the other routers.
-  [[nodiscard]] std::vector<customer_flow> Flows(time_point now) const;
+  [[nodiscard]] std::vector<customer_flow> LocalFlows(time_point now) const;
   /// A customer's share over all routers, in tokens per second; kNoLimit while
   /// the pool is not overloaded.
   [[nodiscard]] double share() const { return share_; }
