--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -47,8 +47,8 @@
   state.bucket_tokens += tokens;
 }
 
-void share_limiter::SetOthers(const std::vector<customer_flow>& others,
-                              time_point now) {
+void share_limiter::SetRemoteFlows(const std::vector<customer_flow>& others,
+                                   time_point now) {
   for (auto& [customer, state] : customers_) {
     state.remote_demand = 0;
     state.remote_started = 0;
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -35,7 +35,7 @@
                      double tokens,
                      time_point now);
   /// Replaces the flows of the other routers.
-  void SetOthers(const std::vector<customer_flow>& others, time_point now);
+  void SetRemoteFlows(const std::vector<customer_flow>& others, time_point now);
   /// Sets the known capacity of the pool, in tokens per second; zero if
   /// unknown.
   void SetKnownCapacity(double tokens_per_second) {
--- a/src/admission/tests/admission_unittest.cc
+++ b/src/admission/tests/admission_unittest.cc
@@ -95,8 +95,8 @@
       if ((now.time_since_epoch() / kStep) % 20 == 0) {
         const auto first = routers[0].LocalFlows(now);
         const auto second = routers[1].LocalFlows(now);
-        routers[0].SetOthers(second, now);
-        routers[1].SetOthers(first, now);
+        routers[0].SetRemoteFlows(second, now);
+        routers[1].SetRemoteFlows(first, now);
       }
     }
   }
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -258,7 +258,7 @@
   directory_.SetOthersLoad(others.targets);
   double least_part = 1;
   for (auto& [pool, state] : pools_) {
-    state.shares.SetOthers(others.customers, now);
+    state.shares.SetRemoteFlows(others.customers, now);
     least_part = std::min(least_part, state.shares.OwnPart(now));
   }
   directory_.SetOwnPart(least_part);
