--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -115,7 +115,7 @@
   return state.bucket_tokens < 0;
 }
 
-double share_limiter::OwnPart(time_point now) const {
+double share_limiter::LocalDemandFraction(time_point now) const {
   double local_demand = 0;
   double total_demand = 0;
   for (const auto& [customer, state] : customers_) {
--- a/src/admission/share_limiter.h
+++ b/src/admission/share_limiter.h
@@ -45,7 +45,7 @@
   /// Returns whether the customer has used up its share for now.
   [[nodiscard]] bool IsOverShare(const customer_id& customer, time_point now);
   /// Returns this router's fraction of the demand on all routers, 0 to 1.
-  [[nodiscard]] double OwnPart(time_point now) const;
+  [[nodiscard]] double LocalDemandFraction(time_point now) const;
   /// Returns this router's flows, to be reported to the other routers.
   [[nodiscard]] std::vector<customer_flow> LocalFlows(time_point now) const;
   /// A customer's share over all routers, in tokens per second; kNoLimit while
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -259,7 +259,7 @@
   double least_part = 1;
   for (auto& [pool, state] : pools_) {
     state.shares.SetRemoteFlows(others.customers, now);
-    least_part = std::min(least_part, state.shares.OwnPart(now));
+    least_part = std::min(least_part, state.shares.LocalDemandFraction(now));
   }
   directory_.SetOwnPart(least_part);
   DispatchAll(now, out);
