--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -105,7 +105,7 @@
     // What others do is not known any more.
     others_heard_ = {};
     router_.SetOthersLoad({}, now, out);
-    router_.mutable_directory().SetOwnPart(
+    router_.mutable_directory().SetLocalBacklogFraction(
         1.0 / static_cast<double>(routers_ == 0 ? kAssumedRouters : routers_));
   }
   if (!in_contact_) {
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -261,7 +261,7 @@
     state.shares.SetRemoteFlows(others.customers, now);
     least_part = std::min(least_part, state.shares.LocalDemandFraction(now));
   }
-  directory_.SetOwnPart(least_part);
+  directory_.SetLocalBacklogFraction(least_part);
   DispatchAll(now, out);
 }
 
--- a/src/targets/internal/prompt_placement.cc
+++ b/src/targets/internal/prompt_placement.cc
@@ -227,7 +227,7 @@
   }
   // Within its own fraction of the limit a router does not depend on up-to-date
   // load reports of the other routers.
-  if (own + unread <= limit * own_part_) {
+  if (own + unread <= limit * local_backlog_fraction_) {
     return true;
   }
   if (own > 0) {
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -174,7 +174,7 @@
   /// Sets the load of the other routers at each target.
   void SetOthersLoad(const std::vector<admission::target_load>& others);
   /// Sets this router's fraction of a target's maximum prompt backlog, 0 to 1.
-  void SetOwnPart(double part) { own_part_ = part; }
+  void SetLocalBacklogFraction(double part) { local_backlog_fraction_ = part; }
   /// Total number of prompt tokens sent to targets for processing.
   [[nodiscard]] std::uint64_t granted_tokens() const { return granted_tokens_; }
   /// Returns the load of this router at each target that it uses.
@@ -399,7 +399,7 @@
   std::unordered_set<pool_id> copying_pools_;
   std::vector<daemon_id> routers_;
   std::uint64_t last_grant_ = 0;
-  double own_part_ = 1;
+  double local_backlog_fraction_ = 1;
   std::uint64_t granted_tokens_ = 0;
   std::vector<std::pair<data_centre_id, lease_evidence>> evidence_;
   /// Whether a revoked slot has become free since the last report.
