--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -56,7 +56,7 @@
   for (const customer_flow& flow : others) {
     if (flow.pool == pool_) {
       customer_state& state = customers_[flow.customer];
-      state.remote_demand = flow.asked;
+      state.remote_demand = flow.demand;
       state.remote_started = flow.begun;
     }
   }
@@ -130,9 +130,9 @@
   for (const auto& [customer, state] : customers_) {
     const customer_flow flow{.pool = pool_,
                              .customer = customer,
-                             .asked = state.demand.Rate(now),
+                             .demand = state.demand.Rate(now),
                              .begun = state.started.Rate(now)};
-    if (flow.asked >= kMinReportedRate || flow.begun >= kMinReportedRate) {
+    if (flow.demand >= kMinReportedRate || flow.begun >= kMinReportedRate) {
       flows.push_back(flow);
     }
   }
--- a/src/admission/types/fleet_load.h
+++ b/src/admission/types/fleet_load.h
@@ -24,7 +24,7 @@
   pool_id pool;
   customer_id customer;
   /// Rate of the requests that have arrived.
-  double asked = 0;
+  double demand = 0;
   /// Rate of the requests that were sent to a target.
   double begun = 0;
 
--- a/src/control/internal/load_collector.cc
+++ b/src/control/internal/load_collector.cc
@@ -40,7 +40,7 @@
       admission::customer_flow& sum = customers[{flow.pool, flow.customer}];
       sum.pool = flow.pool;
       sum.customer = flow.customer;
-      sum.asked += flow.asked;
+      sum.demand += flow.demand;
       sum.begun += flow.begun;
     }
   }
--- a/src/control/tests/control_unittest.cc
+++ b/src/control/tests/control_unittest.cc
@@ -175,7 +175,7 @@
         .targets = {{.target = target_id("t"), .in_flight = in_flight}},
         .customers = {{.pool = pool_id("p"),
                        .customer = customer_id("c"),
-                       .asked = asked}}};
+                       .demand = asked}}};
   };
   routers[0]->ReportLoad(load(3, 100));
   RunFor(milliseconds(20));
