--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -57,7 +57,7 @@
     if (flow.pool == pool_) {
       customer_state& state = customers_[flow.customer];
       state.remote_demand = flow.demand;
-      state.remote_started = flow.begun;
+      state.remote_started = flow.started;
     }
   }
   UpdateShare(now);
@@ -131,8 +131,8 @@
     const customer_flow flow{.pool = pool_,
                              .customer = customer,
                              .demand = state.demand.Rate(now),
-                             .begun = state.started.Rate(now)};
-    if (flow.demand >= kMinReportedRate || flow.begun >= kMinReportedRate) {
+                             .started = state.started.Rate(now)};
+    if (flow.demand >= kMinReportedRate || flow.started >= kMinReportedRate) {
       flows.push_back(flow);
     }
   }
--- a/src/admission/types/fleet_load.h
+++ b/src/admission/types/fleet_load.h
@@ -26,7 +26,7 @@
   /// Rate of the requests that have arrived.
   double demand = 0;
   /// Rate of the requests that were sent to a target.
-  double begun = 0;
+  double started = 0;
 
   friend bool operator==(const customer_flow&, const customer_flow&) = default;
 };
--- a/src/control/internal/load_collector.cc
+++ b/src/control/internal/load_collector.cc
@@ -41,7 +41,7 @@
       sum.pool = flow.pool;
       sum.customer = flow.customer;
       sum.demand += flow.demand;
-      sum.begun += flow.begun;
+      sum.started += flow.started;
     }
   }
   admission::fleet_load others;
--- a/src/control/internal/message_codec.cc
+++ b/src/control/internal/message_codec.cc
@@ -27,13 +27,13 @@
 // Whole tokens are exact enough and shorter.
 void to_json(json& j, const customer_flow& f) {
   j = json::array(
-      {f.pool, f.customer, std::llround(f.demand), std::llround(f.begun)});
+      {f.pool, f.customer, std::llround(f.demand), std::llround(f.started)});
 }
 void from_json(const json& j, customer_flow& f) {
   j.at(0).get_to(f.pool);
   j.at(1).get_to(f.customer);
   j.at(2).get_to(f.demand);
-  j.at(3).get_to(f.begun);
+  j.at(3).get_to(f.started);
 }
 
 void to_json(json& j, const fleet_load& l) {
