--- a/src/targets/internal/prompt_placement.cc
+++ b/src/targets/internal/prompt_placement.cc
@@ -64,7 +64,7 @@
     const pool_id& pool,
     const std::vector<target_id>& excluded,
     const prompt& prompt,
-    prompt_urgency urgency,
+    placement_constraints constraints,
     time_point now) {
   candidates found = Candidates(pool, excluded, now);
   std::vector<entry*>& all = found.local;
@@ -75,7 +75,7 @@
   const std::vector<const entry*> preferred =
       PreferredTargets(pool, SharedKey(prompt), now);
   const best_holders holders = BestHolders(pool, prompt, now);
-  const bool only_preferred = urgency.agreed_only && !preferred.empty() &&
+  const bool only_preferred = constraints.agreed_only && !preferred.empty() &&
                               holders[0].target == nullptr &&
                               SharedTokens(prompt) >= kMinTokensWorthWaiting;
   placement best;
@@ -86,7 +86,7 @@
     const bool is_preferred = std::find(preferred.begin(), preferred.end(),
                                         candidate) != preferred.end();
     if ((only_preferred && !is_preferred) ||
-        !HasProcessingRoom(*candidate, placed.unread, urgency)) {
+        !HasProcessingRoom(*candidate, placed.unread, constraints)) {
       continue;
     }
     if (placed.cost < best.cost) {
@@ -216,13 +216,14 @@
   return std::min(held, prompt.input_tokens);
 }
 
-bool target_directory::HasProcessingRoom(const entry& entry,
-                                         std::uint32_t unread,
-                                         prompt_urgency urgency) const {
+bool target_directory::HasProcessingRoom(
+    const entry& entry,
+    std::uint32_t unread,
+    placement_constraints constraints) const {
   const double limit = entry.tokens_per_ms * kMaxBacklogMs;
   const auto own = static_cast<double>(entry.unread_tokens);
   const auto others = static_cast<double>(entry.remote_unread_tokens);
-  if (urgency.spare_only) {
+  if (constraints.spare_only) {
     return own + others + unread <= limit * kSpareFraction || own + others == 0;
   }
   // Within its own fraction of the limit a router does not depend on up-to-date
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -90,7 +90,7 @@
 };
 
 /// Restricts the targets that a generation may be sent to.
-struct prompt_urgency {
+struct placement_constraints {
   /// Only targets that probably have its shared parts cached, if these are
   /// large.
   bool agreed_only = false;
@@ -160,7 +160,7 @@
   std::optional<choice> ChooseForPrompt(const pool_id& pool,
                                         const std::vector<target_id>& excluded,
                                         const prompt& prompt,
-                                        prompt_urgency urgency,
+                                        placement_constraints constraints,
                                         time_point now);
   /// Sets the limits for cold targets of the pool.
   void SetColdTerms(const pool_id& pool, const cold_limits& terms);
@@ -356,7 +356,7 @@
       const std::vector<const target_directory::entry*>& preferred);
   [[nodiscard]] bool HasProcessingRoom(const entry& entry,
                                        std::uint32_t unread,
-                                       prompt_urgency urgency) const;
+                                       placement_constraints constraints) const;
   /// Returns the targets that all routers prefer for prompts with this key.
   [[nodiscard]] std::vector<const entry*> PreferredTargets(
       const pool_id& pool,
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -57,8 +57,9 @@
                       {.id = ++last_own, .tokens = own_tokens}}};
   }
   std::optional<choice> Choose(const prompt& prompt,
-                               prompt_urgency urgency = {}) {
-    return directory.ChooseForPrompt(pool_id("llm"), {}, prompt, urgency, now);
+                               placement_constraints constraints = {}) {
+    return directory.ChooseForPrompt(pool_id("llm"), {}, prompt, constraints,
+                                     now);
   }
 };
 
