--- a/src/targets/internal/prompt_placement.cc
+++ b/src/targets/internal/prompt_placement.cc
@@ -75,7 +75,8 @@
   const std::vector<const entry*> preferred =
       PreferredTargets(pool, SharedKey(prompt), now);
   const best_holders holders = BestHolders(pool, prompt, now);
-  const bool only_preferred = constraints.agreed_only && !preferred.empty() &&
+  const bool only_preferred = constraints.preferred_only &&
+                              !preferred.empty() &&
                               holders[0].target == nullptr &&
                               SharedTokens(prompt) >= kMinTokensWorthWaiting;
   placement best;
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -93,7 +93,7 @@
 struct placement_constraints {
   /// Only targets that probably have its shared parts cached, if these are
   /// large.
-  bool agreed_only = false;
+  bool preferred_only = false;
   /// Only targets with a small backlog of unread prompt tokens.
   bool spare_only = false;
 };
