--- a/src/routing/internal/request_dispatch.cc
+++ b/src/routing/internal/request_dispatch.cc
@@ -144,7 +144,7 @@
       record.spec.latency_objective.value_or(duration::zero()) / kPatiencePart;
   const targets::placement_constraints constraints{
       .preferred_only = !over_share && now - record.life.arrived() < patience,
-      .spare_only = over_share};
+      .spare_capacity_only = over_share};
   return directory_.ChooseForPrompt(record.spec.pool, record.tried,
                                     *record.spec.prompt, constraints, now);
 }
--- a/src/targets/internal/prompt_placement.cc
+++ b/src/targets/internal/prompt_placement.cc
@@ -224,7 +224,7 @@
   const double limit = entry.tokens_per_ms * kMaxBacklogMs;
   const auto own = static_cast<double>(entry.unread_tokens);
   const auto others = static_cast<double>(entry.remote_unread_tokens);
-  if (constraints.spare_only) {
+  if (constraints.spare_capacity_only) {
     return own + others + unread <= limit * kSpareFraction || own + others == 0;
   }
   // Within its own fraction of the limit a router does not depend on up-to-date
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -95,7 +95,7 @@
   /// large.
   bool preferred_only = false;
   /// Only targets with a small backlog of unread prompt tokens.
-  bool spare_only = false;
+  bool spare_capacity_only = false;
 };
 
 struct choice {
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -137,7 +137,8 @@
   directory.SetOthersLoad({{.target = target_id("a"), .unread_tokens = 9000},
                            {.target = target_id("b"), .unread_tokens = 9000},
                            {.target = target_id("c"), .unread_tokens = 9000}});
-  CHECK_FALSE(Choose(Prompt(7, 500), {.spare_only = true}).has_value());
+  CHECK_FALSE(
+      Choose(Prompt(7, 500), {.spare_capacity_only = true}).has_value());
   CHECK(Choose(Prompt(7, 500)).has_value());
 }
 
