--- a/src/routing/internal/attempt_accounting.cc
+++ b/src/routing/internal/attempt_accounting.cc
@@ -102,7 +102,7 @@
   }
   --totals_.in_flight;
   if (failure.kind == failure_kind::kOtherTarget) {
-    directory_.NoteGone(*record.grant);
+    directory_.MarkReplaced(*record.grant);
   }
   if (IsNeutral(failure, record.life.cancel_reason())) {
     directory_.ReleaseNeutral(*record.grant);
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -239,7 +239,7 @@
   }
 }
 
-void target_directory::NoteGone(const slot_grant& grant) {
+void target_directory::MarkReplaced(const slot_grant& grant) {
   if (entry* known = Find(grant.target, grant.life)) {
     known->replaced = true;
   }
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -180,7 +180,7 @@
   /// Returns the load of this router at each target that it uses.
   [[nodiscard]] std::vector<admission::target_load> OwnLoad() const;
   /// Records that another process answers at the target's address.
-  void NoteGone(const slot_grant& grant);
+  void MarkReplaced(const slot_grant& grant);
   /// Restarts the silence timers; used while announcements cannot be received
   /// from any target.
   void ExcuseSilence(time_point now);
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -170,7 +170,7 @@
   Announce("a");
   const auto made = directory.Choose(pool_id("llm"), {}, now);
   REQUIRE(made.has_value());
-  directory.NoteGone(made->grant);
+  directory.MarkReplaced(made->grant);
   CHECK_FALSE(directory.IsUsable(target_id("a"), now));
 }
 
