--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -110,7 +110,7 @@
   }
   if (!in_contact_) {
     // Nothing can be heard of targets either.
-    router_.mutable_directory().ExcuseSilence(now);
+    router_.mutable_directory().RestartSilenceTimers(now);
   }
   out_ = nullptr;
 }
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -245,7 +245,7 @@
   }
 }
 
-void target_directory::ExcuseSilence(time_point now) {
+void target_directory::RestartSilenceTimers(time_point now) {
   for (auto& [target, entry] : entries_) {
     entry.last_heard = std::max(entry.last_heard, now);
   }
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -183,7 +183,7 @@
   void MarkReplaced(const slot_grant& grant);
   /// Restarts the silence timers; used while announcements cannot be received
   /// from any target.
-  void ExcuseSilence(time_point now);
+  void RestartSilenceTimers(time_point now);
 
   /// Records the first output of a granted request. Returns true if the target
   /// was found to have become cold.
