--- a/src/routing/internal/attempt_accounting.cc
+++ b/src/routing/internal/attempt_accounting.cc
@@ -82,7 +82,7 @@
             unseen_output * fairness::kUnitsPerOutputToken + prompt_error);
   }
   --totals_.in_flight;
-  if (directory_.ReleaseGood(*record.grant)) {
+  if (directory_.ReleaseSucceeded(*record.grant)) {
     ReportRamp(record.grant->target, "answered_well", out);
   }
   record.grant.reset();
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -194,7 +194,7 @@
   return true;
 }
 
-bool target_directory::ReleaseGood(const slot_grant& grant) {
+bool target_directory::ReleaseSucceeded(const slot_grant& grant) {
   entry* known = Find(grant.target, grant.life);
   if (known == nullptr) {
     return false;
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -190,7 +190,7 @@
   bool ReportFirstOutput(const slot_grant& grant, duration latency);
   /// Releases the slot of a successful request. Returns true if the target's
   /// limit was raised.
-  bool ReleaseGood(const slot_grant& grant);
+  bool ReleaseSucceeded(const slot_grant& grant);
   void ReleaseBad(const slot_grant& grant, time_point now);
   /// Releases the slot of a request that ended for reasons unrelated to the
   /// target.
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -70,7 +70,7 @@
   const auto first = Choose(Prompt(7, 500));
   REQUIRE(first.has_value());
   directory.ReportFirstOutput(first->grant, milliseconds(50));
-  directory.ReleaseGood(first->grant);
+  directory.ReleaseSucceeded(first->grant);
   const auto second = Choose(Prompt(7, 500));
   REQUIRE(second.has_value());
   CHECK(second->grant.target == first->grant.target);
@@ -220,7 +220,7 @@
     const auto made = Choose(Prompt(session, 500));
     REQUIRE(made.has_value());
     directory.ReportFirstOutput(made->grant, milliseconds(50));
-    directory.ReleaseGood(made->grant);
+    directory.ReleaseSucceeded(made->grant);
     return made->grant.target;
   }
   void Load(const target_id& target) {
@@ -261,7 +261,7 @@
   const auto first = Choose(wrong);
   REQUIRE(first.has_value());
   directory.ReportFirstOutput(first->grant, milliseconds(50));
-  directory.ReleaseGood(first->grant);
+  directory.ReleaseSucceeded(first->grant);
   wrong.input_tokens = 100;
   const auto second = directory.ChooseForPrompt(
       pool_id("llm"), {first->grant.target}, wrong, {}, now);
--- a/src/targets/tests/targets_unittest.cc
+++ b/src/targets/tests/targets_unittest.cc
@@ -229,7 +229,7 @@
         const slot_grant grant = grants.back();
         grants.pop_back();
         if (choice == 4) {
-          fixture.directory.ReleaseGood(grant);
+          fixture.directory.ReleaseSucceeded(grant);
         } else {
           fixture.directory.ReleaseBad(grant, fixture.now);
         }
