--- a/src/routing/internal/attempt_accounting.cc
+++ b/src/routing/internal/attempt_accounting.cc
@@ -107,7 +107,7 @@
   if (IsNeutral(failure, record.life.cancel_reason())) {
     directory_.ReleaseNeutral(*record.grant);
   } else {
-    directory_.ReleaseBad(*record.grant, now);
+    directory_.ReleaseFailed(*record.grant, now);
     ReportRamp(record.grant->target, ToString(failure.kind), out);
   }
   record.grant.reset();
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -208,7 +208,7 @@
   return known->ramp.OnSuccess(grant.epoch);
 }
 
-void target_directory::ReleaseBad(const slot_grant& grant, time_point now) {
+void target_directory::ReleaseFailed(const slot_grant& grant, time_point now) {
   entry* known = Find(grant.target, grant.life);
   if (known == nullptr) {
     return;
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -191,7 +191,7 @@
   /// Releases the slot of a successful request. Returns true if the target's
   /// limit was raised.
   bool ReleaseSucceeded(const slot_grant& grant);
-  void ReleaseBad(const slot_grant& grant, time_point now);
+  void ReleaseFailed(const slot_grant& grant, time_point now);
   /// Releases the slot of a request that ended for reasons unrelated to the
   /// target.
   void ReleaseNeutral(const slot_grant& grant);
--- a/src/targets/tests/targets_unittest.cc
+++ b/src/targets/tests/targets_unittest.cc
@@ -231,7 +231,7 @@
         if (choice == 4) {
           fixture.directory.ReleaseSucceeded(grant);
         } else {
-          fixture.directory.ReleaseBad(grant, fixture.now);
+          fixture.directory.ReleaseFailed(grant, fixture.now);
         }
       }
       for (const target_view& view : fixture.directory.View(fixture.now)) {
