--- a/src/fleet/internal/fleet_reports.cc
+++ b/src/fleet/internal/fleet_reports.cc
@@ -65,7 +65,7 @@
       const bool others_need =
           standing.scarce && !waiting_pools.contains(standing.pool);
       if (others_need && directory.FreeLeased(standing.pool, now) > 0 &&
-          directory.ReturnIdle(standing.pool)) {
+          directory.ReleaseIdleLeases(standing.pool)) {
         state.urgent = true;
       }
     }
--- a/src/targets/internal/target_leases.cc
+++ b/src/targets/internal/target_leases.cc
@@ -38,7 +38,7 @@
   }
 }
 
-bool target_directory::ReturnIdle(const pool_id& pool) {
+bool target_directory::ReleaseIdleLeases(const pool_id& pool) {
   const auto found = by_pool_.find(pool);
   if (found == by_pool_.end()) {
     return false;
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -217,7 +217,7 @@
   /// slot that has become free.
   [[nodiscard]] bool HasUrgentEvidence() const;
   /// Gives up idle leased slots of the pool. Returns whether there were any.
-  bool ReturnIdle(const pool_id& pool);
+  bool ReleaseIdleLeases(const pool_id& pool);
   /// Returns and clears the results collected for targets of the data centre.
   std::vector<lease_evidence> TakeEvidence(const data_centre_id& data_centre);
   /// Returns the number of free leased slots of the pool.
