--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -117,8 +117,8 @@
 void slot_coordinator::ApplyEvidence(const router_report& report,
                                      time_point now) {
   for (const targets::lease_evidence& evidence : report.evidence) {
-    directory_.NoteGood(evidence.target, evidence.life, evidence.epoch,
-                        evidence.good);
+    directory_.RecordSuccesses(evidence.target, evidence.life, evidence.epoch,
+                               evidence.good);
     for (std::uint32_t i = 0; i < evidence.bad; ++i) {
       directory_.NoteBad(evidence.target, evidence.life, evidence.epoch, now);
     }
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -235,10 +235,10 @@
   }
 }
 
-void target_directory::NoteGood(const target_id& target,
-                                incarnation life,
-                                ramp_epoch epoch,
-                                std::uint32_t count) {
+void target_directory::RecordSuccesses(const target_id& target,
+                                       incarnation life,
+                                       ramp_epoch epoch,
+                                       std::uint32_t count) {
   if (entry* known = Find(target, life)) {
     known->ramp.OnSuccesses(epoch, count);
   }
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -228,10 +228,10 @@
   void SetPoolCapacity(const pool_id& pool, std::uint32_t slots);
 
   // Results reported by routers to a directory that leases slots out.
-  void NoteGood(const target_id& target,
-                incarnation life,
-                ramp_epoch epoch,
-                std::uint32_t count);
+  void RecordSuccesses(const target_id& target,
+                       incarnation life,
+                       ramp_epoch epoch,
+                       std::uint32_t count);
   void NoteBad(const target_id& target,
                incarnation life,
                ramp_epoch epoch,
