--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -120,7 +120,8 @@
     directory_.RecordSuccesses(evidence.target, evidence.life, evidence.epoch,
                                evidence.good);
     for (std::uint32_t i = 0; i < evidence.bad; ++i) {
-      directory_.NoteBad(evidence.target, evidence.life, evidence.epoch, now);
+      directory_.RecordFailure(evidence.target, evidence.life, evidence.epoch,
+                               now);
     }
     if (evidence.first_output_jumped) {
       directory_.NoteJump(evidence.target, evidence.life, evidence.epoch);
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -244,10 +244,10 @@
   }
 }
 
-void target_directory::NoteBad(const target_id& target,
-                               incarnation life,
-                               ramp_epoch epoch,
-                               time_point now) {
+void target_directory::RecordFailure(const target_id& target,
+                                     incarnation life,
+                                     ramp_epoch epoch,
+                                     time_point now) {
   entry* known = Find(target, life);
   if (known == nullptr) {
     return;
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -232,10 +232,10 @@
                        incarnation life,
                        ramp_epoch epoch,
                        std::uint32_t count);
-  void NoteBad(const target_id& target,
-               incarnation life,
-               ramp_epoch epoch,
-               time_point now);
+  void RecordFailure(const target_id& target,
+                     incarnation life,
+                     ramp_epoch epoch,
+                     time_point now);
   void NoteJump(const target_id& target, incarnation life, ramp_epoch epoch);
   void RaiseLimit(const target_id& target,
                   incarnation life,
