--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -124,7 +124,8 @@
                                now);
     }
     if (evidence.first_output_jumped) {
-      directory_.NoteJump(evidence.target, evidence.life, evidence.epoch);
+      directory_.RecordLatencyJump(evidence.target, evidence.life,
+                                   evidence.epoch);
     }
   }
 }
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -256,9 +256,9 @@
   next_deadline_ = std::min(next_deadline_, NextDeadlineOf(*known, now));
 }
 
-void target_directory::NoteJump(const target_id& target,
-                                incarnation life,
-                                ramp_epoch epoch) {
+void target_directory::RecordLatencyJump(const target_id& target,
+                                         incarnation life,
+                                         ramp_epoch epoch) {
   if (entry* known = Find(target, life)) {
     known->ramp.OnLatencyJump(epoch);
   }
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -236,7 +236,9 @@
                      incarnation life,
                      ramp_epoch epoch,
                      time_point now);
-  void NoteJump(const target_id& target, incarnation life, ramp_epoch epoch);
+  void RecordLatencyJump(const target_id& target,
+                         incarnation life,
+                         ramp_epoch epoch);
   void RaiseLimit(const target_id& target,
                   incarnation life,
                   std::uint32_t limit);
