--- a/src/allocation/internal/slot_allocation.cc
+++ b/src/allocation/internal/slot_allocation.cc
@@ -36,7 +36,7 @@
                                     time_point now) {
   std::vector<pool_target> targets;
   std::uint32_t capacity = 0;
-  for (const targets::announcement* target : directory_.OfPool(pool)) {
+  for (const targets::announcement* target : directory_.TargetsInPool(pool)) {
     const std::uint32_t limit =
         MayLease(*target, now)
             ? directory_.RampLimit(target->target).value_or(0)
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -282,7 +282,7 @@
   return pools;
 }
 
-std::vector<const announcement*> target_directory::OfPool(
+std::vector<const announcement*> target_directory::TargetsInPool(
     const pool_id& pool) const {
   std::vector<const announcement*> targets;
   const auto found = by_pool_.find(pool);
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -245,7 +245,7 @@
 
   [[nodiscard]] std::vector<pool_id> Pools() const;
   /// Returns all targets of the pool, usable or not, sorted by name.
-  [[nodiscard]] std::vector<const announcement*> OfPool(
+  [[nodiscard]] std::vector<const announcement*> TargetsInPool(
       const pool_id& pool) const;
   [[nodiscard]] bool IsUsable(const target_id& target, time_point now) const;
   /// Returns the target's announcement if it is of that incarnation; nullptr
