--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -106,7 +106,7 @@
   std::uint32_t good = 0;
   for (const targets::lease_evidence& evidence : report.evidence) {
     const targets::announcement* target =
-        directory_.FindLife(evidence.target, evidence.life);
+        directory_.FindIncarnation(evidence.target, evidence.life);
     if (target != nullptr && target->pools.front() == pool) {
       good += evidence.good;
     }
@@ -227,7 +227,7 @@
   }
   for (const target_key& key : leases_.TargetsOf(router)) {
     const targets::announcement* target =
-        directory_.FindLife(key.first, key.second);
+        directory_.FindIncarnation(key.first, key.second);
     if (target == nullptr) {
       continue;
     }
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -304,8 +304,8 @@
   return found != entries_.end() && IsUsable(found->second, now);
 }
 
-const announcement* target_directory::FindLife(const target_id& target,
-                                               incarnation life) const {
+const announcement* target_directory::FindIncarnation(const target_id& target,
+                                                      incarnation life) const {
   const auto found = entries_.find(target);
   return found != entries_.end() && found->second.announced.life == life
              ? &found->second.announced
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -250,8 +250,8 @@
   [[nodiscard]] bool IsUsable(const target_id& target, time_point now) const;
   /// Returns the target's announcement if it is of that incarnation; nullptr
   /// otherwise.
-  [[nodiscard]] const announcement* FindLife(const target_id& target,
-                                             incarnation life) const;
+  [[nodiscard]] const announcement* FindIncarnation(const target_id& target,
+                                                    incarnation life) const;
   /// Returns the time since which the target has announced itself without gaps
   /// longer than half the silence limit; kNever if the target is unknown.
   [[nodiscard]] time_point HeardSince(const target_id& target) const;
