--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -174,8 +174,8 @@
       std::make_shared<const routes::route_index>(std::move(read.value()));
   for (const routes::service_terms& terms : table->contents().services) {
     targets::target_directory& directory = router_.mutable_directory();
-    directory.SetColdTerms(terms.service,
-                           {.rate = terms.cold_rate, .time = terms.cold_time});
+    directory.SetColdLimits(terms.service,
+                            {.rate = terms.cold_rate, .time = terms.cold_time});
     directory.SetMemory(terms.service, terms.memory_tokens);
     directory.SetCopying(terms.service, terms.copies_prompts);
     if (terms.memory_tokens > 0) {
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -131,8 +131,8 @@
   return reported(a) < reported(b);
 }
 
-void target_directory::SetColdTerms(const pool_id& pool,
-                                    const cold_limits& terms) {
+void target_directory::SetColdLimits(const pool_id& pool,
+                                     const cold_limits& terms) {
   cold_limits_[pool] = terms;
 }
 
