--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -176,7 +176,7 @@
     targets::target_directory& directory = router_.mutable_directory();
     directory.SetColdLimits(terms.service,
                             {.rate = terms.cold_rate, .time = terms.cold_time});
-    directory.SetMemory(terms.service, terms.memory_tokens);
+    directory.SetCacheCapacity(terms.service, terms.memory_tokens);
     directory.SetCopying(terms.service, terms.copies_prompts);
     if (terms.memory_tokens > 0) {
       router_.SetPoolThroughput(terms.service,
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -136,7 +136,8 @@
   cold_limits_[pool] = terms;
 }
 
-void target_directory::SetMemory(const pool_id& pool, std::uint64_t tokens) {
+void target_directory::SetCacheCapacity(const pool_id& pool,
+                                        std::uint64_t tokens) {
   if (pool_memory_[pool] == tokens) {
     return;
   }
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -165,7 +165,7 @@
   /// Sets the limits for cold targets of the pool.
   void SetColdLimits(const pool_id& pool, const cold_limits& terms);
   /// Sets the KV cache size of targets of the pool, in tokens.
-  void SetMemory(const pool_id& pool, std::uint64_t tokens);
+  void SetCacheCapacity(const pool_id& pool, std::uint64_t tokens);
   /// Sets whether targets of the pool can copy cached prompt parts from each
   /// other.
   void SetCopying(const pool_id& pool, bool copies);
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -44,7 +44,7 @@
                        now);
   }
   void AnnounceThree() {
-    directory.SetMemory(pool_id("llm"), 500'000);
+    directory.SetCacheCapacity(pool_id("llm"), 500'000);
     for (const char* name : {"a", "b", "c"}) {
       Announce(name);
     }
