--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -177,7 +177,7 @@
     directory.SetColdLimits(terms.service,
                             {.rate = terms.cold_rate, .time = terms.cold_time});
     directory.SetCacheCapacity(terms.service, terms.memory_tokens);
-    directory.SetCopying(terms.service, terms.copies_prompts);
+    directory.SetPrefixCopying(terms.service, terms.copies_prompts);
     if (terms.memory_tokens > 0) {
       router_.SetPoolThroughput(terms.service,
                                 table->contents().engine_throughput);
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -151,7 +151,7 @@
   }
 }
 
-void target_directory::SetCopying(const pool_id& pool, bool copies) {
+void target_directory::SetPrefixCopying(const pool_id& pool, bool copies) {
   if (copies) {
     copying_pools_.insert(pool);
   } else {
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -168,7 +168,7 @@
   void SetCacheCapacity(const pool_id& pool, std::uint64_t tokens);
   /// Sets whether targets of the pool can copy cached prompt parts from each
   /// other.
-  void SetCopying(const pool_id& pool, bool copies);
+  void SetPrefixCopying(const pool_id& pool, bool copies);
   /// Sets the routers that share the targets, including this one.
   void SetRouters(std::vector<daemon_id> routers);
   /// Sets the load of the other routers at each target.
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -213,7 +213,7 @@
 struct copying_fixture : prompt_fixture {
   copying_fixture() {
     AnnounceThree();
-    directory.SetCopying(pool_id("llm"), true);
+    directory.SetPrefixCopying(pool_id("llm"), true);
   }
   // Lets a target process the session's first prompt; returns the target.
   target_id ProcessOnce(std::uint64_t session) {
@@ -300,7 +300,7 @@
 
 TEST_CASE_METHOD(copying_fixture,
                  "copying: targets of the pool do not copy: no source") {
-  directory.SetCopying(pool_id("llm"), false);
+  directory.SetPrefixCopying(pool_id("llm"), false);
   const target_id holder = ProcessOnce(7);
   Load(holder);
   const auto made = Choose(Prompt(7, 500));
