--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -243,7 +243,7 @@
 }
 
 admission::fleet_load request_router::OwnLoad(time_point now) const {
-  admission::fleet_load load{.targets = directory_.OwnLoad()};
+  admission::fleet_load load{.targets = directory_.LocalLoad()};
   for (const auto& [pool, state] : pools_) {
     for (admission::customer_flow& flow : state.shares.LocalFlows(now)) {
       load.customers.push_back(std::move(flow));
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -174,7 +174,7 @@
   }
 }
 
-std::vector<admission::target_load> target_directory::OwnLoad() const {
+std::vector<admission::target_load> target_directory::LocalLoad() const {
   std::vector<admission::target_load> own;
   for (const auto& [target, entry] : entries_) {
     if (entry.in_flight > 0) {
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -178,7 +178,7 @@
   /// Total number of prompt tokens sent to targets for processing.
   [[nodiscard]] std::uint64_t granted_tokens() const { return granted_tokens_; }
   /// Returns the load of this router at each target that it uses.
-  [[nodiscard]] std::vector<admission::target_load> OwnLoad() const;
+  [[nodiscard]] std::vector<admission::target_load> LocalLoad() const;
   /// Records that another process answers at the target's address.
   void MarkReplaced(const slot_grant& grant);
   /// Restarts the silence timers; used while announcements cannot be received
