--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -255,7 +255,7 @@
 void request_router::SetOthersLoad(const admission::fleet_load& others,
                                    time_point now,
                                    effects& out) {
-  directory_.SetOthersLoad(others.targets);
+  directory_.SetRemoteLoad(others.targets);
   double least_part = 1;
   for (auto& [pool, state] : pools_) {
     state.shares.SetRemoteFlows(others.customers, now);
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -159,7 +159,7 @@
   }
 }
 
-void target_directory::SetOthersLoad(
+void target_directory::SetRemoteLoad(
     const std::vector<admission::target_load>& others) {
   for (auto& [target, entry] : entries_) {
     entry.remote_in_flight = 0;
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -172,7 +172,7 @@
   /// Sets the routers that share the targets, including this one.
   void SetRouters(std::vector<daemon_id> routers);
   /// Sets the load of the other routers at each target.
-  void SetOthersLoad(const std::vector<admission::target_load>& others);
+  void SetRemoteLoad(const std::vector<admission::target_load>& others);
   /// Sets this router's fraction of a target's maximum prompt backlog, 0 to 1.
   void SetLocalBacklogFraction(double part) { local_backlog_fraction_ = part; }
   /// Total number of prompt tokens sent to targets for processing.
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -120,13 +120,13 @@
     const auto free_choice = Choose(Prompt(session, 200));
     REQUIRE(free_choice.has_value());
     directory.ReleaseNeutral(free_choice->grant);
-    directory.SetOthersLoad(
+    directory.SetRemoteLoad(
         {{.target = free_choice->grant.target, .unread_tokens = 40'000}});
     const auto made = Choose(Prompt(session, 200));
     REQUIRE(made.has_value());
     CHECK(made->grant.target != free_choice->grant.target);
     directory.ReleaseNeutral(made->grant);
-    directory.SetOthersLoad({});
+    directory.SetRemoteLoad({});
   }
 }
 
@@ -134,7 +134,7 @@
                  "placement: customer over its share: only targets with "
                  "spare capacity") {
   AnnounceThree();
-  directory.SetOthersLoad({{.target = target_id("a"), .unread_tokens = 9000},
+  directory.SetRemoteLoad({{.target = target_id("a"), .unread_tokens = 9000},
                            {.target = target_id("b"), .unread_tokens = 9000},
                            {.target = target_id("c"), .unread_tokens = 9000}});
   CHECK_FALSE(
@@ -224,7 +224,7 @@
     return made->grant.target;
   }
   void Load(const target_id& target) {
-    directory.SetOthersLoad({{.target = target, .unread_tokens = 40'000}});
+    directory.SetRemoteLoad({{.target = target, .unread_tokens = 40'000}});
   }
 };
 
@@ -247,7 +247,7 @@
   Load(first);
   const target_id second = ProcessOnce(7);
   REQUIRE(second != first);
-  directory.SetOthersLoad({});
+  directory.SetRemoteLoad({});
   const auto made = Choose(Prompt(7, 500));
   REQUIRE(made.has_value());
   CHECK(made->copied_tokens == 0);
