--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -108,7 +108,7 @@
     const targets::announcement* target =
         directory_.FindIncarnation(evidence.target, evidence.life);
     if (target != nullptr && target->pools.front() == pool) {
-      good += evidence.good;
+      good += evidence.successes;
     }
   }
   return good;
@@ -118,7 +118,7 @@
                                      time_point now) {
   for (const targets::lease_evidence& evidence : report.evidence) {
     directory_.RecordSuccesses(evidence.target, evidence.life, evidence.epoch,
-                               evidence.good);
+                               evidence.successes);
     for (std::uint32_t i = 0; i < evidence.bad; ++i) {
       directory_.RecordFailure(evidence.target, evidence.life, evidence.epoch,
                                now);
--- a/src/peer/tests/peer_unittest.cc
+++ b/src/peer/tests/peer_unittest.cc
@@ -42,7 +42,7 @@
                                  .running = 1,
                                  .service = 77.5}}}},
       .holdings = {{.target = target_id("t"), .limit = 2, .in_use = 1}},
-      .evidence = {{.target = target_id("t"), .good = 6, .bad = 1}},
+      .evidence = {{.target = target_id("t"), .successes = 6, .bad = 1}},
       .announcements = {Target()}};
   const auto decoded = Decode(Encode(report));
   REQUIRE(decoded.has_value());
@@ -50,7 +50,7 @@
   CHECK(copy.sender == report.sender);
   CHECK(copy.demand[0].customers[0].service == 77.5);
   CHECK(copy.holdings[0].in_use == 1);
-  CHECK(copy.evidence[0].good == 6);
+  CHECK(copy.evidence[0].successes == 6);
   CHECK(copy.announcements[0].load->at_ms == 5);
   CHECK(copy.announcements[0].address == Target().address);
 }
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -202,7 +202,7 @@
   --known->in_flight;
   RemoveUnread(*known, grant.number);
   if (options_.leased) {
-    ++EvidenceOf(grant).good;
+    ++EvidenceOf(grant).successes;
     revoked_slot_freed_ |= known->in_flight >= known->lease_limit;
   }
   return known->ramp.OnSuccess(grant.epoch);
--- a/src/targets/internal/target_leases.cc
+++ b/src/targets/internal/target_leases.cc
@@ -128,7 +128,7 @@
                const bool still_ramping = known != entries_.end() &&
                                           limit < known->second.announced.slots;
                return seen.bad > 0 || seen.first_output_jumped ||
-                      (still_ramping && seen.good >= limit);
+                      (still_ramping && seen.successes >= limit);
              });
 }
 
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -84,7 +84,7 @@
   target_id target;
   incarnation life;
   ramp_epoch epoch;
-  std::uint32_t good = 0;
+  std::uint32_t successes = 0;
   std::uint32_t bad = 0;
   bool first_output_jumped = false;
 };
