--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -119,7 +119,7 @@
   for (const targets::lease_evidence& evidence : report.evidence) {
     directory_.RecordSuccesses(evidence.target, evidence.life, evidence.epoch,
                                evidence.successes);
-    for (std::uint32_t i = 0; i < evidence.bad; ++i) {
+    for (std::uint32_t i = 0; i < evidence.failures; ++i) {
       directory_.RecordFailure(evidence.target, evidence.life, evidence.epoch,
                                now);
     }
--- a/src/peer/internal/message_codec.cc
+++ b/src/peer/internal/message_codec.cc
@@ -44,15 +44,15 @@
 namespace targets {
 
 void to_json(json& j, const lease_evidence& e) {
-  j = json::array(
-      {e.target, e.life, e.epoch, e.successes, e.bad, e.first_output_jumped});
+  j = json::array({e.target, e.life, e.epoch, e.successes, e.failures,
+                   e.first_output_jumped});
 }
 void from_json(const json& j, lease_evidence& e) {
   j.at(0).get_to(e.target);
   j.at(1).get_to(e.life);
   j.at(2).get_to(e.epoch);
   j.at(3).get_to(e.successes);
-  j.at(4).get_to(e.bad);
+  j.at(4).get_to(e.failures);
   j.at(5).get_to(e.first_output_jumped);
 }
 
--- a/src/peer/tests/peer_unittest.cc
+++ b/src/peer/tests/peer_unittest.cc
@@ -42,7 +42,7 @@
                                  .running = 1,
                                  .service = 77.5}}}},
       .holdings = {{.target = target_id("t"), .limit = 2, .in_use = 1}},
-      .evidence = {{.target = target_id("t"), .successes = 6, .bad = 1}},
+      .evidence = {{.target = target_id("t"), .successes = 6, .failures = 1}},
       .announcements = {Target()}};
   const auto decoded = Decode(Encode(report));
   REQUIRE(decoded.has_value());
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -216,7 +216,7 @@
   --known->in_flight;
   RemoveUnread(*known, grant.number);
   if (options_.leased) {
-    ++EvidenceOf(grant).bad;
+    ++EvidenceOf(grant).failures;
     // No new requests until the lessor has processed the failure report.
     known->lease_limit = 0;
   }
--- a/src/targets/internal/target_leases.cc
+++ b/src/targets/internal/target_leases.cc
@@ -127,7 +127,7 @@
                    known == entries_.end() ? 0 : known->second.lease_ramp_limit;
                const bool still_ramping = known != entries_.end() &&
                                           limit < known->second.announced.slots;
-               return seen.bad > 0 || seen.first_output_jumped ||
+               return seen.failures > 0 || seen.first_output_jumped ||
                       (still_ramping && seen.successes >= limit);
              });
 }
--- a/src/targets/target_directory.h
+++ b/src/targets/target_directory.h
@@ -85,7 +85,7 @@
   incarnation life;
   ramp_epoch epoch;
   std::uint32_t successes = 0;
-  std::uint32_t bad = 0;
+  std::uint32_t failures = 0;
   bool first_output_jumped = false;
 };
 
