--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -106,9 +106,9 @@
   std::uint32_t good = 0;
   for (const targets::lease_evidence& evidence : report.evidence) {
     const targets::announcement* target =
-        directory_.FindLife(evidence.target, evidence.life);
+        directory_.FindIncarnation(evidence.target, evidence.life);
     if (target != nullptr && target->pools.front() == pool) {
-      good += evidence.good;
+      good += evidence.successes;
     }
   }
   return good;
@@ -117,13 +117,15 @@
 void slot_coordinator::ApplyEvidence(const router_report& report,
                                      time_point now) {
   for (const targets::lease_evidence& evidence : report.evidence) {
-    directory_.NoteGood(evidence.target, evidence.life, evidence.epoch,
-                        evidence.good);
-    for (std::uint32_t i = 0; i < evidence.bad; ++i) {
-      directory_.NoteBad(evidence.target, evidence.life, evidence.epoch, now);
+    directory_.RecordSuccesses(evidence.target, evidence.life, evidence.epoch,
+                               evidence.successes);
+    for (std::uint32_t i = 0; i < evidence.failures; ++i) {
+      directory_.RecordFailure(evidence.target, evidence.life, evidence.epoch,
+                               now);
     }
     if (evidence.first_output_jumped) {
-      directory_.NoteJump(evidence.target, evidence.life, evidence.epoch);
+      directory_.RecordLatencyJump(evidence.target, evidence.life,
+                                   evidence.epoch);
     }
   }
 }
@@ -225,7 +227,7 @@
   }
   for (const target_key& key : leases_.TargetsOf(router)) {
     const targets::announcement* target =
-        directory_.FindLife(key.first, key.second);
+        directory_.FindIncarnation(key.first, key.second);
     if (target == nullptr) {
       continue;
     }
--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -105,12 +105,12 @@
     // What others do is not known any more.
     others_heard_ = {};
     router_.SetOthersLoad({}, now, out);
-    router_.mutable_directory().SetOwnPart(
+    router_.mutable_directory().SetLocalBacklogFraction(
         1.0 / static_cast<double>(routers_ == 0 ? kAssumedRouters : routers_));
   }
   if (!in_contact_) {
     // Nothing can be heard of targets either.
-    router_.mutable_directory().ExcuseSilence(now);
+    router_.mutable_directory().RestartSilenceTimers(now);
   }
   out_ = nullptr;
 }
@@ -174,10 +174,10 @@
       std::make_shared<const routes::route_index>(std::move(read.value()));
   for (const routes::service_terms& terms : table->contents().services) {
     targets::target_directory& directory = router_.mutable_directory();
-    directory.SetColdTerms(terms.service,
-                           {.rate = terms.cold_rate, .time = terms.cold_time});
-    directory.SetMemory(terms.service, terms.memory_tokens);
-    directory.SetCopying(terms.service, terms.copies_prompts);
+    directory.SetColdLimits(terms.service,
+                            {.rate = terms.cold_rate, .time = terms.cold_time});
+    directory.SetCacheCapacity(terms.service, terms.memory_tokens);
+    directory.SetPrefixCopying(terms.service, terms.copies_prompts);
     if (terms.memory_tokens > 0) {
       router_.SetPoolThroughput(terms.service,
                                 table->contents().engine_throughput);
--- a/src/control/internal/load_collector.cc
+++ b/src/control/internal/load_collector.cc
@@ -40,8 +40,8 @@
       admission::customer_flow& sum = customers[{flow.pool, flow.customer}];
       sum.pool = flow.pool;
       sum.customer = flow.customer;
-      sum.asked += flow.asked;
-      sum.begun += flow.begun;
+      sum.demand += flow.demand;
+      sum.started += flow.started;
     }
   }
   admission::fleet_load others;
--- a/src/routing/internal/attempt_accounting.cc
+++ b/src/routing/internal/attempt_accounting.cc
@@ -84,7 +84,7 @@
                 prompt_cost_correction);
   }
   --totals_.in_flight;
-  if (directory_.ReleaseGood(*record.grant)) {
+  if (directory_.ReleaseSucceeded(*record.grant)) {
     ReportRamp(record.grant->target, "answered_well", out);
   }
   record.grant.reset();
@@ -100,16 +100,16 @@
   }
   if (failure.kind == failure_kind::kNotAdmitted && record.share_cost > 0) {
     PoolOf(record.spec.pool)
-        .shares.OnReturned(record.spec.customer, record.share_cost, now);
+        .shares.OnNotExecuted(record.spec.customer, record.share_cost, now);
   }
   --totals_.in_flight;
   if (failure.kind == failure_kind::kOtherTarget) {
-    directory_.NoteGone(*record.grant);
+    directory_.MarkReplaced(*record.grant);
   }
   if (IsNeutral(failure, record.lifecycle.cancel_reason())) {
     directory_.ReleaseNeutral(*record.grant);
   } else {
-    directory_.ReleaseBad(*record.grant, now);
+    directory_.ReleaseFailed(*record.grant, now);
     ReportRamp(record.grant->target, ToString(failure.kind), out);
   }
   record.grant.reset();
--- a/src/routing/internal/request_dispatch.cc
+++ b/src/routing/internal/request_dispatch.cc
@@ -76,7 +76,7 @@
                                  effects& out) {
   record& record = *Find(request);
   const bool over_share =
-      record.spec.prompt && state.shares.IsOver(record.spec.customer, now);
+      record.spec.prompt && state.shares.IsOverShare(record.spec.customer, now);
   std::optional<targets::choice> choice = ChooseTarget(record, over_share, now);
   if (!choice) {
     // Capacity that other routers release is not signalled to this one.
@@ -94,7 +94,7 @@
           : record.spec.prompt_tokens * fairness::kUnitsPerPromptToken;
   state.queue.Charge(record.spec.customer, record.charged_prompt_cost);
   if (record.share_cost > 0 && !is_retry) {
-    state.shares.OnBegun(record.spec.customer, record.share_cost, now);
+    state.shares.OnSent(record.spec.customer, record.share_cost, now);
   }
   --totals_.waiting;
   ++totals_.in_flight;
@@ -143,12 +143,12 @@
   const duration cached_target_wait =
       record.spec.latency_objective.value_or(duration::zero()) /
       kCachedTargetWaitDivisor;
-  const targets::prompt_urgency urgency{
-      .agreed_only =
+  const targets::placement_constraints constraints{
+      .preferred_only =
           !over_share && now - record.lifecycle.arrived() < cached_target_wait,
-      .spare_only = over_share};
+      .spare_capacity_only = over_share};
   return directory_.ChooseForPrompt(record.spec.pool, record.tried_targets,
-                                    *record.spec.prompt, urgency, now);
+                                    *record.spec.prompt, constraints, now);
 }
 
 void request_router::RefuseOverShare(request_seq request,
@@ -157,7 +157,8 @@
   record* record = Find(request);
   if (record == nullptr || !record->lifecycle.waiting() ||
       !record->spec.prompt ||
-      !PoolOf(record->spec.pool).shares.IsOver(record->spec.customer, now)) {
+      !PoolOf(record->spec.pool)
+           .shares.IsOverShare(record->spec.customer, now)) {
     return;
   }
   Apply(record->lifecycle.Refuse(refusal_reason::kOverShare), *record, now,
--- a/src/routing/internal/request_router.cc
+++ b/src/routing/internal/request_router.cc
@@ -74,7 +74,7 @@
   record& record = added->second;
   if (spec.prompt) {
     record.share_cost = ShareCost(*spec.prompt);
-    PoolOf(spec.pool).shares.OnAsked(spec.customer, record.share_cost, now);
+    PoolOf(spec.pool).shares.OnArrival(spec.customer, record.share_cost, now);
   }
   if (const auto limit = QueueLimitReached(spec)) {
     Apply(record.lifecycle.Refuse(*limit), record, now, out);
@@ -247,9 +247,9 @@
 }
 
 admission::fleet_load request_router::OwnLoad(time_point now) const {
-  admission::fleet_load load{.targets = directory_.OwnLoad()};
+  admission::fleet_load load{.targets = directory_.LocalLoad()};
   for (const auto& [pool, state] : pools_) {
-    for (admission::customer_flow& flow : state.shares.Flows(now)) {
+    for (admission::customer_flow& flow : state.shares.LocalFlows(now)) {
       load.customers.push_back(std::move(flow));
     }
   }
@@ -259,13 +259,14 @@
 void request_router::SetOthersLoad(const admission::fleet_load& others,
                                    time_point now,
                                    effects& out) {
-  directory_.SetOthersLoad(others.targets);
+  directory_.SetRemoteLoad(others.targets);
   double min_own_part = 1;
   for (auto& [pool, state] : pools_) {
-    state.shares.SetOthers(others.customers, now);
-    min_own_part = std::min(min_own_part, state.shares.OwnPart(now));
+    state.shares.SetRemoteFlows(others.customers, now);
+    min_own_part =
+        std::min(min_own_part, state.shares.LocalDemandFraction(now));
   }
-  directory_.SetOwnPart(min_own_part);
+  directory_.SetLocalBacklogFraction(min_own_part);
   DispatchAll(now, out);
 }
 
--- a/src/targets/internal/target_choice.cc
+++ b/src/targets/internal/target_choice.cc
@@ -1,5 +1,5 @@
-// The choice among targets for calls without a prompt, and what is known of the
-// targets' load. See target_directory.h.
+// Target selection for requests without a prompt, and tracking of target load.
+// See target_directory.h.
 #include <algorithm>
 #include <limits>
 #include <utility>
@@ -10,17 +10,19 @@
 
 namespace {
 
-// Weight of the newest observation of a target's speed.
+// Weight of the latest sample in a target's smoothed processing rate.
 constexpr double kRateSmoothing = 0.05;
-// Shorter prompts say little about the speed.
-constexpr std::uint64_t kLeastObservedTokens = 4000;
-constexpr double kLeastTokensPerMs = 5;
-constexpr double kMostTokensPerMs = 400;
-// Part of a target's memory that running requests leave for kept parts.
-constexpr double kKeptPart = 0.4;
+// Minimum number of tokens for a sample; shorter prompts measure the processing
+// rate poorly.
+constexpr std::uint64_t kMinSampleTokens = 4000;
+constexpr double kMinTokensPerMs = 5;
+constexpr double kMaxTokensPerMs = 400;
+// Fraction of a target's KV cache that running requests leave for cached parts.
+constexpr double kCachedFraction = 0.4;
 
-std::uint64_t KeptTokens(std::uint64_t memory) {
-  return static_cast<std::uint64_t>(kKeptPart * static_cast<double>(memory));
+std::uint64_t CacheCapacity(std::uint64_t memory) {
+  return static_cast<std::uint64_t>(kCachedFraction *
+                                    static_cast<double>(memory));
 }
 
 }  // namespace
@@ -79,7 +81,7 @@
                                time_point now) {
   ++picked.in_flight;
   if (now < picked.cold_until) {
-    picked.cold.Take(ColdRate(picked), now);
+    picked.cold.TakeToken(ColdRate(picked), now);
   }
   return {.grant = {.target = picked.announced.target,
                     .life = picked.announced.life,
@@ -129,49 +131,50 @@
   return reported(a) < reported(b);
 }
 
-void target_directory::SetColdTerms(const pool_id& pool,
-                                    const cold_terms& terms) {
-  cold_terms_[pool] = terms;
+void target_directory::SetColdLimits(const pool_id& pool,
+                                     const cold_limits& terms) {
+  cold_limits_[pool] = terms;
 }
 
-void target_directory::SetMemory(const pool_id& pool, std::uint64_t tokens) {
-  if (memory_[pool] == tokens) {
+void target_directory::SetCacheCapacity(const pool_id& pool,
+                                        std::uint64_t tokens) {
+  if (pool_memory_[pool] == tokens) {
     return;
   }
-  memory_[pool] = tokens;
+  pool_memory_[pool] = tokens;
   const auto entries = by_pool_.find(pool);
   if (entries == by_pool_.end()) {
     return;
   }
   for (entry* entry : entries->second) {
-    entry->prefixes = prefix_memory(KeptTokens(tokens));
+    entry->prefixes = prefix_memory(CacheCapacity(tokens));
   }
 }
 
-void target_directory::SetCopying(const pool_id& pool, bool copies) {
+void target_directory::SetPrefixCopying(const pool_id& pool, bool copies) {
   if (copies) {
-    copying_.insert(pool);
+    copying_pools_.insert(pool);
   } else {
-    copying_.erase(pool);
+    copying_pools_.erase(pool);
   }
 }
 
-void target_directory::SetOthersLoad(
+void target_directory::SetRemoteLoad(
     const std::vector<admission::target_load>& others) {
   for (auto& [target, entry] : entries_) {
-    entry.others_in_flight = 0;
-    entry.others_unread = 0;
+    entry.remote_in_flight = 0;
+    entry.remote_unread_tokens = 0;
   }
   for (const admission::target_load& load : others) {
     const auto found = entries_.find(load.target);
     if (found != entries_.end()) {
-      found->second.others_in_flight = load.in_flight;
-      found->second.others_unread = load.unread_tokens;
+      found->second.remote_in_flight = load.in_flight;
+      found->second.remote_unread_tokens = load.unread_tokens;
     }
   }
 }
 
-std::vector<admission::target_load> target_directory::OwnLoad() const {
+std::vector<admission::target_load> target_directory::LocalLoad() const {
   std::vector<admission::target_load> own;
   for (const auto& [target, entry] : entries_) {
     if (entry.in_flight > 0) {
@@ -183,15 +186,15 @@
   return own;
 }
 
-void target_directory::LearnRate(entry& entry,
-                                 const slot_grant& grant,
-                                 duration latency) {
+void target_directory::UpdateProcessingRate(entry& entry,
+                                            const slot_grant& grant,
+                                            duration latency) {
   const double ms = ToMilliseconds(latency);
-  if (grant.tokens_ahead < kLeastObservedTokens || ms <= 0) {
+  if (grant.tokens_ahead < kMinSampleTokens || ms <= 0) {
     return;
   }
   const double seen = std::clamp(static_cast<double>(grant.tokens_ahead) / ms,
-                                 kLeastTokensPerMs, kMostTokensPerMs);
+                                 kMinTokensPerMs, kMaxTokensPerMs);
   entry.tokens_per_ms += kRateSmoothing * (seen - entry.tokens_per_ms);
 }
 
@@ -202,24 +205,24 @@
 double target_directory::ColdRate(const entry& entry) const {
   double rate = 0;
   for (const pool_id& pool : entry.announced.pools) {
-    const auto terms = cold_terms_.find(pool);
-    rate = std::max(rate, terms == cold_terms_.end() ? 0 : terms->second.rate);
+    const auto terms = cold_limits_.find(pool);
+    rate = std::max(rate, terms == cold_limits_.end() ? 0 : terms->second.rate);
   }
-  return rate * ColdShare(entry.announced.target, options_.self, routers_);
+  return rate * ColdRateShare(entry.announced.target, options_.self, routers_);
 }
 
-void target_directory::NoteColdness(entry& entry, time_point now) {
+void target_directory::ApplyColdPeriod(entry& entry, time_point now) {
   for (const pool_id& pool : entry.announced.pools) {
-    const auto memory = memory_.find(pool);
-    if (entry.prefixes.capacity() == 0 && memory != memory_.end()) {
-      entry.prefixes = prefix_memory(KeptTokens(memory->second));
+    const auto memory = pool_memory_.find(pool);
+    if (entry.prefixes.capacity() == 0 && memory != pool_memory_.end()) {
+      entry.prefixes = prefix_memory(CacheCapacity(memory->second));
     }
   }
   if (!entry.announced.cold_for) {
     return;
   }
-  // A word about coldness takes the place of the ramp: what is not cold bears
-  // all its slots, unless it has failed since.
+  // A target that announces its cold period does not need the ramp: outside
+  // that period it can take all its slots, unless it has failed since.
   if (entry.ramp.epoch() == admission_ramp(1, 1).epoch()) {
     entry.ramp.RaiseTo(entry.announced.slots);
   }
@@ -229,7 +232,7 @@
       is_cold ? std::max(entry.cold_until, until) : entry.cold_until;
 }
 
-void target_directory::ForgetUnread(entry& entry, std::uint64_t grant) {
+void target_directory::RemoveUnread(entry& entry, std::uint64_t grant) {
   const auto found = entry.unread.find(grant);
   if (found != entry.unread.end()) {
     entry.unread_tokens -= found->second.tokens;
@@ -237,13 +240,13 @@
   }
 }
 
-void target_directory::NoteGone(const slot_grant& grant) {
+void target_directory::MarkReplaced(const slot_grant& grant) {
   if (entry* known = Find(grant.target, grant.life)) {
-    known->gone = true;
+    known->replaced = true;
   }
 }
 
-void target_directory::ExcuseSilence(time_point now) {
+void target_directory::RestartSilenceTimers(time_point now) {
   for (auto& [target, entry] : entries_) {
     entry.last_heard = std::max(entry.last_heard, now);
   }
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -20,7 +20,7 @@
     const auto [added, inserted] =
         entries_.emplace(announcement.target, std::move(fresh));
     IndexPools(added->second);
-    NoteColdness(added->second, now);
+    ApplyColdPeriod(added->second, now);
     next_deadline_ = std::min(next_deadline_, now + options_.silence);
     return announce_result::kNew;
   }
@@ -34,7 +34,7 @@
   } else {
     Refresh(known, announcement);
   }
-  NoteColdness(known, now);
+  ApplyColdPeriod(known, now);
   if (now - known.last_heard > options_.silence / 2) {
     known.heard_since = now;
   }
@@ -56,7 +56,7 @@
   if (announcement.load && known.announced.load) {
     return announcement.load->at_ms <= known.announced.load->at_ms;
   }
-  // Without a time to order them by, leaving is final within an incarnation.
+  // Reports that cannot be ordered: leaving is final within an incarnation.
   return known.announced.state == target_state::kLeaving &&
          announcement.state != target_state::kLeaving;
 }
@@ -66,13 +66,13 @@
   known.announced = announcement;
   known.ramp = admission_ramp(announcement.slots, announcement.cold_slots,
                               options_.ramp);
-  // Grants of the earlier incarnation died with it.
+  // Grants of the previous incarnation ended with it.
   known.in_flight = 0;
   known.unread.clear();
   known.unread_tokens = 0;
   known.prefixes.Clear();
   known.cold_until = {};
-  known.gone = false;
+  known.replaced = false;
   IndexPools(known);
 }
 
@@ -95,7 +95,7 @@
 void target_directory::SetDataCentreOut(const data_centre_id& data_centre,
                                         bool out,
                                         time_point now) {
-  bool& current = out_[data_centre];
+  bool& current = data_centres_out_[data_centre];
   if (current == out) {
     return;
   }
@@ -109,8 +109,8 @@
     }
     entry.ramp.Reset();
     for (const pool_id& pool : entry.announced.pools) {
-      const auto terms = cold_terms_.find(pool);
-      if (terms != cold_terms_.end()) {
+      const auto terms = cold_limits_.find(pool);
+      if (terms != cold_limits_.end()) {
         entry.cold_until = std::max(entry.cold_until, now + terms->second.time);
         entry.ramp.RaiseTo(entry.announced.slots);
       }
@@ -120,13 +120,13 @@
 
 bool target_directory::IsDataCentreOut(
     const data_centre_id& data_centre) const {
-  const auto found = out_.find(data_centre);
-  return found != out_.end() && found->second;
+  const auto found = data_centres_out_.find(data_centre);
+  return found != data_centres_out_.end() && found->second;
 }
 
 std::vector<data_centre_id> target_directory::OutOfService() const {
   std::vector<data_centre_id> found;
-  for (const auto& [data_centre, out] : out_) {
+  for (const auto& [data_centre, out] : data_centres_out_) {
     if (out) {
       found.push_back(data_centre);
     }
@@ -148,7 +148,7 @@
     }
     if (!entry.silence_reported && since_heard >= options_.silence) {
       entry.silence_reported = true;
-      // It may have restarted unseen.
+      // The target may have restarted during the silence.
       entry.ramp.Reset();
       silent.push_back(it->first);
     }
@@ -163,7 +163,8 @@
   const time_point heard_deadline =
       entry.last_heard +
       (entry.silence_reported ? options_.retention : options_.silence);
-  // Past the retention period it is kept only for requests still in flight.
+  // After the retention period the entry is kept only for requests still in
+  // flight.
   const time_point next =
       heard_deadline > now ? heard_deadline : now + options_.silence;
   const time_point resume = entry.ramp.paused_until();
@@ -176,12 +177,12 @@
   if (known == nullptr) {
     return false;
   }
-  LearnRate(*known, grant, latency);
+  UpdateProcessingRate(*known, grant, latency);
   const auto begun = known->unread.find(grant.number);
   if (begun != known->unread.end()) {
-    known->prefixes.NoteRead(begun->second.parts);
+    known->prefixes.MarkProcessed(begun->second.parts);
   }
-  ForgetUnread(*known, grant.number);
+  RemoveUnread(*known, grant.number);
   if (!known->ramp.OnFirstOutput(grant.epoch, latency)) {
     return false;
   }
@@ -193,33 +194,33 @@
   return true;
 }
 
-bool target_directory::ReleaseGood(const slot_grant& grant) {
+bool target_directory::ReleaseSucceeded(const slot_grant& grant) {
   entry* known = Find(grant.target, grant.life);
   if (known == nullptr) {
     return false;
   }
   --known->in_flight;
-  ForgetUnread(*known, grant.number);
+  RemoveUnread(*known, grant.number);
   if (options_.leased) {
-    ++EvidenceOf(grant).good;
-    returned_revoked_ |= known->in_flight >= known->lease_limit;
+    ++EvidenceOf(grant).successes;
+    revoked_slot_freed_ |= known->in_flight >= known->lease_limit;
   }
-  return known->ramp.OnGood(grant.epoch);
+  return known->ramp.OnSuccess(grant.epoch);
 }
 
-void target_directory::ReleaseBad(const slot_grant& grant, time_point now) {
+void target_directory::ReleaseFailed(const slot_grant& grant, time_point now) {
   entry* known = Find(grant.target, grant.life);
   if (known == nullptr) {
     return;
   }
   --known->in_flight;
-  ForgetUnread(*known, grant.number);
+  RemoveUnread(*known, grant.number);
   if (options_.leased) {
-    ++EvidenceOf(grant).bad;
-    // Nothing new until the lessor has judged the failure.
+    ++EvidenceOf(grant).failures;
+    // No new requests until the lessor has processed the failure report.
     known->lease_limit = 0;
   }
-  known->ramp.OnBad(grant.epoch, now);
+  known->ramp.OnFailure(grant.epoch, now);
   if (known->ramp.paused_until() > now) {
     next_deadline_ = std::min(next_deadline_, known->ramp.paused_until());
   }
@@ -228,38 +229,38 @@
 void target_directory::ReleaseNeutral(const slot_grant& grant) {
   if (entry* known = Find(grant.target, grant.life)) {
     --known->in_flight;
-    ForgetUnread(*known, grant.number);
-    returned_revoked_ |=
+    RemoveUnread(*known, grant.number);
+    revoked_slot_freed_ |=
         options_.leased && known->in_flight >= known->lease_limit;
   }
 }
 
-void target_directory::NoteGood(const target_id& target,
-                                incarnation life,
-                                ramp_epoch epoch,
-                                std::uint32_t count) {
+void target_directory::RecordSuccesses(const target_id& target,
+                                       incarnation life,
+                                       ramp_epoch epoch,
+                                       std::uint32_t count) {
   if (entry* known = Find(target, life)) {
-    known->ramp.OnGoodCount(epoch, count);
+    known->ramp.OnSuccesses(epoch, count);
   }
 }
 
-void target_directory::NoteBad(const target_id& target,
-                               incarnation life,
-                               ramp_epoch epoch,
-                               time_point now) {
+void target_directory::RecordFailure(const target_id& target,
+                                     incarnation life,
+                                     ramp_epoch epoch,
+                                     time_point now) {
   entry* known = Find(target, life);
   if (known == nullptr) {
     return;
   }
-  known->ramp.OnBad(epoch, now);
+  known->ramp.OnFailure(epoch, now);
   next_deadline_ = std::min(next_deadline_, NextDeadlineOf(*known, now));
 }
 
-void target_directory::NoteJump(const target_id& target,
-                                incarnation life,
-                                ramp_epoch epoch) {
+void target_directory::RecordLatencyJump(const target_id& target,
+                                         incarnation life,
+                                         ramp_epoch epoch) {
   if (entry* known = Find(target, life)) {
-    known->ramp.OnJump(epoch);
+    known->ramp.OnLatencyJump(epoch);
   }
 }
 
@@ -281,7 +282,7 @@
   return pools;
 }
 
-std::vector<const announcement*> target_directory::OfPool(
+std::vector<const announcement*> target_directory::TargetsInPool(
     const pool_id& pool) const {
   std::vector<const announcement*> targets;
   const auto found = by_pool_.find(pool);
@@ -303,8 +304,8 @@
   return found != entries_.end() && IsUsable(found->second, now);
 }
 
-const announcement* target_directory::FindLife(const target_id& target,
-                                               incarnation life) const {
+const announcement* target_directory::FindIncarnation(const target_id& target,
+                                                      incarnation life) const {
   const auto found = entries_.find(target);
   return found != entries_.end() && found->second.announced.life == life
              ? &found->second.announced
@@ -374,11 +375,11 @@
 }
 
 bool target_directory::IsUsable(const entry& entry, time_point now) const {
-  const bool in_force = options_.leased
-                            ? entry.lease_limit > 0 && now < entry.lease_until
-                            : now - entry.last_heard < options_.silence &&
-                                  entry.ramp.paused_until() <= now;
-  return in_force && !entry.gone &&
+  const bool is_available =
+      options_.leased ? entry.lease_limit > 0 && now < entry.lease_until
+                      : now - entry.last_heard < options_.silence &&
+                            entry.ramp.paused_until() <= now;
+  return is_available && !entry.replaced &&
          entry.announced.state == target_state::kReady &&
          !IsDataCentreOut(entry.announced.data_centre);
 }
@@ -389,7 +390,7 @@
 
 bool target_directory::HasRoom(const entry& entry, time_point now) const {
   if (entry.in_flight >= LimitOf(entry) ||
-      entry.in_flight + entry.others_in_flight >= entry.announced.slots) {
+      entry.in_flight + entry.remote_in_flight >= entry.announced.slots) {
     return false;
   }
   return now >= entry.cold_until || entry.cold.HasToken(ColdRate(entry), now);
--- a/src/targets/internal/target_leases.cc
+++ b/src/targets/internal/target_leases.cc
@@ -1,5 +1,5 @@
-// Slots that the directory may use by leases, and the evidence that it owes the
-// lessor. See target_directory.h.
+// Leased slots, and the results to be reported to the lessor. See
+// target_directory.h.
 #include <algorithm>
 
 #include "targets/target_directory.h"
@@ -38,7 +38,7 @@
   }
 }
 
-bool target_directory::ReturnIdle(const pool_id& pool) {
+bool target_directory::ReleaseIdleLeases(const pool_id& pool) {
   const auto found = by_pool_.find(pool);
   if (found == by_pool_.end()) {
     return false;
@@ -76,7 +76,7 @@
 std::vector<lease_evidence> target_directory::TakeEvidence(
     const data_centre_id& data_centre) {
   std::vector<lease_evidence> taken;
-  returned_revoked_ = false;
+  revoked_slot_freed_ = false;
   std::erase_if(evidence_, [&](const auto& entry) {
     if (entry.first != data_centre) {
       return false;
@@ -118,7 +118,7 @@
 }
 
 bool target_directory::HasUrgentEvidence() const {
-  return returned_revoked_ ||
+  return revoked_slot_freed_ ||
          std::any_of(
              evidence_.begin(), evidence_.end(), [this](const auto& entry) {
                const lease_evidence& seen = entry.second;
@@ -127,8 +127,8 @@
                    known == entries_.end() ? 0 : known->second.lease_ramp_limit;
                const bool still_ramping = known != entries_.end() &&
                                           limit < known->second.announced.slots;
-               return seen.bad > 0 || seen.first_output_jumped ||
-                      (still_ramping && seen.good >= limit);
+               return seen.failures > 0 || seen.first_output_jumped ||
+                      (still_ramping && seen.successes >= limit);
              });
 }
 
--- a/src/targets/prefix_memory.h
+++ b/src/targets/prefix_memory.h
@@ -1,4 +1,5 @@
-// Which parts of prompts a target probably keeps, from what was sent there.
+// Estimates the contents of a target's prefix cache from the prompts sent to
+// it.
 #pragma once
 
 #include <cstddef>
@@ -12,41 +13,41 @@
 
 namespace burdocklock::targets {
 
-/// Least recently used parts yield, as they do at the target.
+/// Evicts the least recently used parts, as the target does.
 ///
-/// Invariant: the tokens of all parts held are at most the capacity, unless
-/// there is one part only.
+/// Invariant: the parts add up to at most the capacity, unless there is only
+/// one.
 class prefix_memory {
  public:
   explicit prefix_memory(std::uint64_t capacity_tokens)
       : capacity_(capacity_tokens) {}
 
-  /// Tokens of the leading parts that are held without a gap, or will be once
-  /// what was sent before is read.
-  [[nodiscard]] std::uint32_t Held(const prompt& prompt) const;
-  /// As above, of parts that have been read already.
-  [[nodiscard]] std::uint32_t HeldAndRead(const prompt& prompt) const;
-  /// The target has been sent this prompt.
-  void Note(const prompt& prompt);
-  /// The target has read these parts.
-  void NoteRead(const std::vector<prompt_part>& parts);
+  /// Returns the tokens of the contiguous leading parts that are cached, or
+  /// will be once the prompts sent earlier are processed.
+  [[nodiscard]] std::uint32_t CachedTokens(const prompt& prompt) const;
+  /// As above, but counts only parts that are already processed.
+  [[nodiscard]] std::uint32_t ProcessedTokens(const prompt& prompt) const;
+  /// Records that this prompt was sent to the target.
+  void RecordSent(const prompt& prompt);
+  /// Records that the target has processed these parts.
+  void MarkProcessed(const std::vector<prompt_part>& parts);
   void Clear();
   [[nodiscard]] std::uint64_t capacity() const { return capacity_; }
 
  private:
-  struct kept_part {
+  struct cached_part {
     prompt_part part;
-    bool is_read = false;
+    bool is_processed = false;
   };
-  using order = std::list<kept_part>;
+  using lru_list = std::list<cached_part>;
 
   void Touch(const prompt_part& part);
 
   std::uint64_t capacity_;
-  std::uint64_t held_tokens_ = 0;
+  std::uint64_t cached_tokens_ = 0;
   /// Most recently used first.
-  order parts_;
-  std::unordered_map<std::uint64_t, order::iterator> places_;
+  lru_list parts_;
+  std::unordered_map<std::uint64_t, lru_list::iterator> index_;
 };
 
 }  // namespace burdocklock::targets
--- a/src/targets/tests/prompt_placement_unittest.cc
+++ b/src/targets/tests/prompt_placement_unittest.cc
@@ -1,5 +1,4 @@
-// Where prompts are sent: kept parts, load, copies between targets, cold
-// targets.
+// Prompt placement: cached parts, load, copying between targets, cold targets.
 #include <algorithm>
 #include <optional>
 #include <string>
@@ -18,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Engines of one pool as a router that shares them sees them.
+// Directory of one router that shares the engines of a pool with other routers.
 struct prompt_fixture {
   seeded_random random{5};
   time_point now{seconds(1000)};
@@ -45,7 +44,7 @@
                        now);
   }
   void AnnounceThree() {
-    directory.SetMemory(pool_id("llm"), 500'000);
+    directory.SetCacheCapacity(pool_id("llm"), 500'000);
     for (const char* name : {"a", "b", "c"}) {
       Announce(name);
     }
@@ -58,8 +57,9 @@
                       {.id = ++last_own, .tokens = own_tokens}}};
   }
   std::optional<choice> Choose(const prompt& prompt,
-                               prompt_urgency urgency = {}) {
-    return directory.ChooseForPrompt(pool_id("llm"), {}, prompt, urgency, now);
+                               placement_constraints constraints = {}) {
+    return directory.ChooseForPrompt(pool_id("llm"), {}, prompt, constraints,
+                                     now);
   }
 };
 
@@ -70,17 +70,18 @@
   const auto first = Choose(Prompt(7, 500));
   REQUIRE(first.has_value());
   directory.ReportFirstOutput(first->grant, milliseconds(50));
-  directory.ReleaseGood(first->grant);
+  directory.ReleaseSucceeded(first->grant);
   const auto second = Choose(Prompt(7, 500));
   REQUIRE(second.has_value());
   CHECK(second->grant.target == first->grant.target);
-  // Only the request's own part is left to be read.
+  // Only the request's own part has to be processed.
   CHECK(second->unread_tokens == 500);
 }
 
-TEST_CASE_METHOD(prompt_fixture,
-                 "placement: routers that never spoke: agree on a session's "
-                 "target") {
+TEST_CASE_METHOD(
+    prompt_fixture,
+    "placement: routers without contact: prefer the same target for "
+    "a session") {
   AnnounceThree();
   const auto here = Choose(Prompt(7, 500));
   prompt_fixture other;
@@ -91,8 +92,8 @@
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "placement: targets have much to read: nothing more is sent "
-                 "until output begins") {
+                 "placement: targets have a full backlog: no more prompts are "
+                 "sent until output begins") {
   AnnounceThree();
   std::vector<slot_grant> sent;
   for (std::uint64_t session = 1; session <= 60; ++session) {
@@ -111,36 +112,39 @@
   CHECK(Choose(Prompt(100, 6000)).has_value());
 }
 
-TEST_CASE_METHOD(prompt_fixture,
-                 "placement: others' work is known: their target is avoided") {
+TEST_CASE_METHOD(
+    prompt_fixture,
+    "placement: a target is loaded by other routers: it is avoided") {
   AnnounceThree();
   for (std::uint64_t session = 1; session <= 20; ++session) {
     const auto free_choice = Choose(Prompt(session, 200));
     REQUIRE(free_choice.has_value());
     directory.ReleaseNeutral(free_choice->grant);
-    directory.SetOthersLoad(
+    directory.SetRemoteLoad(
         {{.target = free_choice->grant.target, .unread_tokens = 40'000}});
     const auto made = Choose(Prompt(session, 200));
     REQUIRE(made.has_value());
     CHECK(made->grant.target != free_choice->grant.target);
     directory.ReleaseNeutral(made->grant);
-    directory.SetOthersLoad({});
+    directory.SetRemoteLoad({});
   }
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "placement: customer over its share: only targets with room "
-                 "to spare") {
+                 "placement: customer over its share: only targets with "
+                 "spare capacity") {
   AnnounceThree();
-  directory.SetOthersLoad({{.target = target_id("a"), .unread_tokens = 9000},
+  directory.SetRemoteLoad({{.target = target_id("a"), .unread_tokens = 9000},
                            {.target = target_id("b"), .unread_tokens = 9000},
                            {.target = target_id("c"), .unread_tokens = 9000}});
-  CHECK_FALSE(Choose(Prompt(7, 500), {.spare_only = true}).has_value());
+  CHECK_FALSE(
+      Choose(Prompt(7, 500), {.spare_capacity_only = true}).has_value());
   CHECK(Choose(Prompt(7, 500)).has_value());
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "announcements: numbered, out of order: the latest counts") {
+                 "announcements: numbered, out of order: the latest number "
+                 "applies") {
   Announce("a", 5);
   announcement leaving{.target = target_id("a"),
                        .life = incarnation(1),
@@ -161,18 +165,18 @@
 }
 
 TEST_CASE_METHOD(prompt_fixture,
-                 "other target at the address: no more work until it announces "
-                 "a new life") {
+                 "another process at the address: no new requests until the "
+                 "target announces a new incarnation") {
   Announce("a");
   const auto made = directory.Choose(pool_id("llm"), {}, now);
   REQUIRE(made.has_value());
-  directory.NoteGone(made->grant);
+  directory.MarkReplaced(made->grant);
   CHECK_FALSE(directory.IsUsable(target_id("a"), now));
 }
 
-// All routers press on one cold target as hard as they may, with lists of
-// routers that differ as they do behind a partition.
-TEST_CASE("cold target: any number of routers: rate holds over all of them") {
+// All routers send to one cold target at the highest rate that they may.
+TEST_CASE(
+    "cold target: any number of routers: total rate stays within the limit") {
   constexpr double kRate = 12;
   constexpr double kBound = kRate * 1.5 + 5;
   for (const std::size_t count : {1U, 2U, 4U, 5U, 12U, 30U}) {
@@ -187,9 +191,9 @@
       const time_point now{seconds(100) + milliseconds(ms)};
       for (std::size_t i = 0; i < count; ++i) {
         const double rate =
-            kRate * ColdShare(target_id("t"), routers[i], routers);
+            kRate * ColdRateShare(target_id("t"), routers[i], routers);
         if (buckets[i].HasToken(rate, now)) {
-          buckets[i].Take(rate, now);
+          buckets[i].TakeToken(rate, now);
           admitted.push_back(now);
         }
       }
@@ -201,7 +205,7 @@
           });
       REQUIRE(static_cast<double>(within) <= kBound);
     }
-    // It is not starved either.
+    // The target still receives most of the permitted rate.
     CHECK(admitted.size() >= 4 * kRate * 0.8);
   }
 }
@@ -209,41 +213,41 @@
 struct copying_fixture : prompt_fixture {
   copying_fixture() {
     AnnounceThree();
-    directory.SetCopying(pool_id("llm"), true);
+    directory.SetPrefixCopying(pool_id("llm"), true);
   }
-  // A session's first prompt has been read by the target that is returned.
-  target_id ReadOnce(std::uint64_t session) {
+  // Lets a target process the session's first prompt; returns the target.
+  target_id ProcessOnce(std::uint64_t session) {
     const auto made = Choose(Prompt(session, 500));
     REQUIRE(made.has_value());
     directory.ReportFirstOutput(made->grant, milliseconds(50));
-    directory.ReleaseGood(made->grant);
+    directory.ReleaseSucceeded(made->grant);
     return made->grant.target;
   }
   void Load(const target_id& target) {
-    directory.SetOthersLoad({{.target = target, .unread_tokens = 40'000}});
+    directory.SetRemoteLoad({{.target = target, .unread_tokens = 40'000}});
   }
 };
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: the keeper is busy: another target copies from it") {
-  const target_id keeper = ReadOnce(7);
-  Load(keeper);
+                 "copying: the holder is busy: another target copies from it") {
+  const target_id holder = ProcessOnce(7);
+  Load(holder);
   const auto made = Choose(Prompt(7, 500));
   REQUIRE(made.has_value());
-  CHECK(made->grant.target != keeper);
+  CHECK(made->grant.target != holder);
   CHECK(made->copied_tokens > 0);
   CHECK(made->copy_from.has_value());
-  // Only the request's own part is left to be read.
+  // Only the request's own part has to be processed.
   CHECK(made->unread_tokens == 500);
 }
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: two keepers: each may lack what the other has") {
-  const target_id first = ReadOnce(7);
+                 "copying: two holders: a source is named in case of a miss") {
+  const target_id first = ProcessOnce(7);
   Load(first);
-  const target_id second = ReadOnce(7);
+  const target_id second = ProcessOnce(7);
   REQUIRE(second != first);
-  directory.SetOthersLoad({});
+  directory.SetRemoteLoad({});
   const auto made = Choose(Prompt(7, 500));
   REQUIRE(made.has_value());
   CHECK(made->copied_tokens == 0);
@@ -251,13 +255,13 @@
 }
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: parts said to be longer than the prompt: no more is "
-                 "copied than there is") {
+                 "copying: declared parts longer than the prompt: copies at "
+                 "most the prompt") {
   prompt wrong = Prompt(7, 500);
   const auto first = Choose(wrong);
   REQUIRE(first.has_value());
   directory.ReportFirstOutput(first->grant, milliseconds(50));
-  directory.ReleaseGood(first->grant);
+  directory.ReleaseSucceeded(first->grant);
   wrong.input_tokens = 100;
   const auto second = directory.ChooseForPrompt(
       pool_id("llm"), {first->grant.target}, wrong, {}, now);
@@ -279,9 +283,9 @@
 }
 
 TEST_CASE_METHOD(copying_fixture,
-                 "copying: the keeper is leaving: not a source any more") {
-  const target_id keeper = ReadOnce(7);
-  directory.Announce({.target = keeper,
+                 "copying: the holder is leaving: no longer a source") {
+  const target_id holder = ProcessOnce(7);
+  directory.Announce({.target = holder,
                       .life = incarnation(1),
                       .data_centre = data_centre_id("cheras"),
                       .pools = {pool_id("llm")},
@@ -296,40 +300,41 @@
 
 TEST_CASE_METHOD(copying_fixture,
                  "copying: targets of the pool do not copy: no source") {
-  directory.SetCopying(pool_id("llm"), false);
-  const target_id keeper = ReadOnce(7);
-  Load(keeper);
+  directory.SetPrefixCopying(pool_id("llm"), false);
+  const target_id holder = ProcessOnce(7);
+  Load(holder);
   const auto made = Choose(Prompt(7, 500));
   REQUIRE(made.has_value());
   CHECK_FALSE(made->copy_from.has_value());
 }
 
-TEST_CASE("prefix memory: more parts than fit: the least recent yield") {
+TEST_CASE(
+    "prefix memory: more parts than fit: the least recently used is evicted") {
   prefix_memory memory(1000);
   const auto part = [](std::uint64_t id) {
     return prompt{.input_tokens = 400, .parts = {{.id = id, .tokens = 400}}};
   };
-  memory.Note(part(1));
-  memory.Note(part(2));
-  memory.Note(part(1));
-  memory.Note(part(3));
-  CHECK(memory.Held(part(1)) == 400);
-  CHECK(memory.Held(part(2)) == 0);
-  CHECK(memory.Held(part(3)) == 400);
+  memory.RecordSent(part(1));
+  memory.RecordSent(part(2));
+  memory.RecordSent(part(1));
+  memory.RecordSent(part(3));
+  CHECK(memory.CachedTokens(part(1)) == 400);
+  CHECK(memory.CachedTokens(part(2)) == 0);
+  CHECK(memory.CachedTokens(part(3)) == 400);
 }
 
-TEST_CASE("prefix memory: parts sent and parts read: told apart") {
+TEST_CASE("prefix memory: sent and processed parts: counted separately") {
   prefix_memory memory(1000);
   const prompt sent{
       .input_tokens = 300,
       .parts = {{.id = 1, .tokens = 100}, {.id = 2, .tokens = 200}}};
-  memory.Note(sent);
-  CHECK(memory.Held(sent) == 300);
-  CHECK(memory.HeldAndRead(sent) == 0);
-  memory.NoteRead({sent.parts[0]});
-  CHECK(memory.HeldAndRead(sent) == 100);
-  memory.Note(sent);
-  CHECK(memory.HeldAndRead(sent) == 100);
+  memory.RecordSent(sent);
+  CHECK(memory.CachedTokens(sent) == 300);
+  CHECK(memory.ProcessedTokens(sent) == 0);
+  memory.MarkProcessed({sent.parts[0]});
+  CHECK(memory.ProcessedTokens(sent) == 100);
+  memory.RecordSent(sent);
+  CHECK(memory.ProcessedTokens(sent) == 100);
 }
 
 }  // namespace
