--- a/src/fleet/internal/fleet_node.cc
+++ b/src/fleet/internal/fleet_node.cc
@@ -43,9 +43,9 @@
                         routing::effects& out) {
   if (hello.leaving) {
     // It goes on reporting until its last request has ended.
-    members_.Left(hello.sender.daemon);
+    members_.MarkLeft(hello.sender.daemon);
   } else {
-    members_.Heard(hello.sender, now);
+    members_.RecordContact(hello.sender, now);
   }
   MergeOrders(hello.orders, now, out);
   const auto found = outbound_.find(link);
@@ -233,7 +233,7 @@
 
 void fleet_node::BeginLeave(time_point now) {
   leaving_ = true;
-  members_.LeaveSelf();
+  members_.MarkSelfLeaving();
   UpdateRole(now);
   for (const auto& [link, state] : outbound_) {
     SendHello(link, true);
--- a/src/fleet/internal/fleet_reports.cc
+++ b/src/fleet/internal/fleet_reports.cc
@@ -207,7 +207,7 @@
                         time_point now,
                         routing::effects& out) {
   if (link != link_id(0)) {
-    members_.Heard(report.sender, now);
+    members_.RecordContact(report.sender, now);
     MergeOrders(report.orders, now, out);
     report_links_[report.sender.daemon] = link;
   }
@@ -240,7 +240,7 @@
                         const allocation::grant_table& grant,
                         time_point now,
                         routing::effects& out) {
-  members_.Heard(grant.sender, now);
+  members_.RecordContact(grant.sender, now);
   const auto found = outbound_.find(link);
   if (found != outbound_.end()) {
     found->second.last_heard = now;
--- a/src/membership/data_centre_orders.h
+++ b/src/membership/data_centre_orders.h
@@ -1,5 +1,6 @@
-// Which data centres operators have taken out of service. Versioned, merged
-// from any message and never lowered.
+// Operators' orders that take data centres out of service or return them.
+// Orders are versioned and merged from any message; an older order never
+// replaces a newer one.
 #pragma once
 
 #include <cstdint>
@@ -22,16 +23,17 @@
                          const data_centre_order&) = default;
 };
 
-/// Invariant: the order kept for a data centre is the one with the largest
-/// (version, out, accepted_by) ever seen by this daemon. Of two orders given
-/// at once under the same version the one that restricts wins.
+/// Invariant: the order stored for a data centre is the one with the largest
+/// (version, out, accepted_by) ever seen by this daemon. Of two concurrent
+/// orders with the same version, the one that takes the data centre out wins.
 class data_centre_orders {
  public:
-  /// Accepts an operator's order here; returns it with its version.
+  /// Stores an operator's order under the next version and returns it.
   data_centre_order Accept(const data_centre_id& data_centre,
                            bool out,
-                           const daemon_id& here);
-  /// Takes an order heard from another daemon; true if it is news.
+                           const daemon_id& self);
+  /// Merges an order received from another daemon. Returns true if it is newer
+  /// than the stored one.
   bool Merge(const data_centre_order& order);
 
   [[nodiscard]] bool IsOut(const data_centre_id& data_centre) const;
--- a/src/membership/internal/data_centre_orders.cc
+++ b/src/membership/internal/data_centre_orders.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "membership/data_centre_orders.h"
 
 #include <tuple>
@@ -7,7 +6,7 @@
 
 namespace {
 
-auto Rank(const data_centre_order& order) {
+auto Precedence(const data_centre_order& order) {
   return std::tie(order.version, order.out, order.accepted_by);
 }
 
@@ -15,24 +14,24 @@
 
 data_centre_order data_centre_orders::Accept(const data_centre_id& data_centre,
                                              bool out,
-                                             const daemon_id& here) {
-  data_centre_order& kept = orders_[data_centre];
-  kept = {.data_centre = data_centre,
-          .out = out,
-          .version = kept.version + 1,
-          .accepted_by = here};
-  return kept;
+                                             const daemon_id& self) {
+  data_centre_order& current = orders_[data_centre];
+  current = {.data_centre = data_centre,
+             .out = out,
+             .version = current.version + 1,
+             .accepted_by = self};
+  return current;
 }
 
 bool data_centre_orders::Merge(const data_centre_order& order) {
-  const auto [kept, inserted] = orders_.emplace(order.data_centre, order);
+  const auto [current, inserted] = orders_.emplace(order.data_centre, order);
   if (inserted) {
     return true;
   }
-  if (Rank(order) <= Rank(kept->second)) {
+  if (Precedence(order) <= Precedence(current->second)) {
     return false;
   }
-  kept->second = order;
+  current->second = order;
   return true;
 }
 
--- a/src/membership/internal/member_table.cc
+++ b/src/membership/internal/member_table.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "membership/member_table.h"
 
 #include <algorithm>
@@ -8,7 +7,7 @@
 
 namespace {
 
-bool ComesFirst(const member& a, const member& b) {
+bool Precedes(const member& a, const member& b) {
   if (a.has_control_role != b.has_control_role) {
     return a.has_control_role;
   }
@@ -20,23 +19,23 @@
 member_table::member_table(member self, duration timeout)
     : self_(std::move(self)), timeout_(timeout) {}
 
-bool member_table::Heard(const member& member, time_point now) {
+bool member_table::RecordContact(const member& member, time_point now) {
   if (member.daemon == self_.daemon) {
     return false;
   }
   entry& known = others_[member.daemon];
-  if (member.life < known.described.life) {
+  if (member.life < known.info.life) {
     return false;
   }
-  if (member.life > known.described.life) {
+  if (member.life > known.info.life) {
     known.left = false;
   }
-  known.described = member;
-  known.last_heard = now;
+  known.info = member;
+  known.last_contact = now;
   return true;
 }
 
-void member_table::Left(const daemon_id& daemon) {
+void member_table::MarkLeft(const daemon_id& daemon) {
   const auto found = others_.find(daemon);
   if (found != others_.end()) {
     found->second.left = true;
@@ -44,7 +43,7 @@
 }
 
 bool member_table::IsAlive(const entry& entry, time_point now) const {
-  return !entry.left && now - entry.last_heard < timeout_;
+  return !entry.left && now - entry.last_contact < timeout_;
 }
 
 bool member_table::IsAlive(const daemon_id& daemon, time_point now) const {
@@ -59,7 +58,7 @@
   std::vector<member> alive = {self_};
   for (const auto& [daemon, entry] : others_) {
     if (IsAlive(entry, now)) {
-      alive.push_back(entry.described);
+      alive.push_back(entry.info);
     }
   }
   return alive;
@@ -73,11 +72,12 @@
     if (candidate.data_centre != data_centre) {
       continue;
     }
-    const bool steps_back = self_leaves_ && candidate.daemon == self_.daemon;
-    if (steps_back) {
+    const bool is_leaving_self =
+        self_leaving_ && candidate.daemon == self_.daemon;
+    if (is_leaving_self) {
       continue;
     }
-    if (!first || ComesFirst(candidate, *first)) {
+    if (!first || Precedes(candidate, *first)) {
       first = candidate;
     }
   }
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,4 +1,4 @@
-// The daemons that this one can reach, and who coordinates a data centre.
+// Liveness of the daemons, and the coordinator of each data centre.
 #pragma once
 
 #include <map>
@@ -11,22 +11,26 @@
 
 namespace burdocklock::membership {
 
-/// Tracks liveness by what was heard. A member that is silent for the timeout
-/// is dead until it is heard again; a new incarnation replaces the old one at
-/// once, whatever its address.
+/// Tracks liveness by received messages. A member from which nothing arrives
+/// for `timeout` counts as dead until its next message. A new incarnation
+/// replaces the previous one immediately, whatever its address.
 ///
-/// Invariant: the coordinator of a data centre is the live member there that
-/// comes first by (control role, daemon id); this daemon counts as live.
+/// Invariant: the coordinator of a data centre is the live member there with
+/// the smallest daemon id, where members with the control role precede all
+/// others. This daemon always counts as live.
 class member_table {
  public:
   member_table(member self, duration timeout);
 
-  /// A member was heard. Returns false for one of an earlier incarnation.
-  bool Heard(const member& member, time_point now);
-  /// This daemon shuts down: it coordinates only where nobody else can.
-  void LeaveSelf() { self_leaves_ = true; }
-  /// A member announced that it leaves.
-  void Left(const daemon_id& daemon);
+  /// Records a message from a member. Returns false if it is this daemon or an
+  /// earlier incarnation.
+  bool RecordContact(const member& member, time_point now);
+  /// Called on shutdown: from then on this daemon coordinates its data centre
+  /// only if no other live member can.
+  void MarkSelfLeaving() { self_leaving_ = true; }
+  /// A member announced its shutdown. It counts as dead until a new incarnation
+  /// is seen.
+  void MarkLeft(const daemon_id& daemon);
 
   [[nodiscard]] bool IsAlive(const daemon_id& daemon, time_point now) const;
   [[nodiscard]] std::optional<member> Coordinator(
@@ -40,8 +44,8 @@
 
  private:
   struct entry {
-    member described;
-    time_point last_heard;
+    member info;
+    time_point last_contact;
     bool left = false;
   };
 
@@ -49,7 +53,7 @@
 
   member self_;
   duration timeout_;
-  bool self_leaves_ = false;
+  bool self_leaving_ = false;
   std::map<daemon_id, entry> others_;
 };
 
--- a/src/membership/tests/membership_unittest.cc
+++ b/src/membership/tests/membership_unittest.cc
@@ -1,4 +1,4 @@
-// Liveness, coordinators and orders on data centres.
+// Tests of liveness, the choice of coordinators, and data centre orders.
 #include <algorithm>
 
 #include <rapidcheck/catch.h>
@@ -12,7 +12,9 @@
 
 using std::chrono::seconds;
 
-member Make(const std::string& name, bool control, std::uint64_t life = 1) {
+member MakeMember(const std::string& name,
+                  bool control,
+                  std::uint64_t life = 1) {
   return {.daemon = daemon_id(name),
           .life = incarnation(life),
           .data_centre = data_centre_id("cheras"),
@@ -21,7 +23,7 @@
 }
 
 struct member_fixture {
-  member_table table{Make("b", false), seconds(3)};
+  member_table table{MakeMember("b", false), seconds(3)};
   time_point now{seconds(100)};
   const data_centre_id cheras{"cheras"};
 
@@ -30,38 +32,41 @@
   }
 };
 
-TEST_CASE_METHOD(member_fixture, "members: alone: coordinates itself") {
+TEST_CASE_METHOD(member_fixture,
+                 "members: no other member: coordinates its own data centre") {
   CHECK(Coordinator() == "b");
   CHECK(!table.Coordinator(data_centre_id("petaling"), now));
 }
 
 TEST_CASE_METHOD(member_fixture,
-                 "members: control role: comes before smaller names") {
-  table.Heard(Make("a", false), now);
+                 "members: control role: precedes smaller daemon ids") {
+  table.RecordContact(MakeMember("a", false), now);
   CHECK(Coordinator() == "a");
-  table.Heard(Make("c", true), now);
+  table.RecordContact(MakeMember("c", true), now);
   CHECK(Coordinator() == "c");
 }
 
-TEST_CASE_METHOD(member_fixture, "members: silent or left: not alive") {
-  table.Heard(Make("a", false), now);
+TEST_CASE_METHOD(member_fixture, "members: timed out or left: not alive") {
+  table.RecordContact(MakeMember("a", false), now);
   now += seconds(3);
   CHECK(Coordinator() == "b");
-  table.Heard(Make("a", false), now);
-  table.Left(daemon_id("a"));
+  table.RecordContact(MakeMember("a", false), now);
+  table.MarkLeft(daemon_id("a"));
   CHECK(Coordinator() == "b");
-  table.Heard(Make("a", false, 2), now);
+  table.RecordContact(MakeMember("a", false, 2), now);
   CHECK(Coordinator() == "a");
 }
 
 TEST_CASE_METHOD(member_fixture,
-                 "members: late word of an earlier incarnation: ignored") {
-  table.Heard(Make("a", false, 2), now);
-  CHECK(!table.Heard(Make("a", true, 1), now + seconds(9)));
+                 "members: late message of an earlier incarnation: ignored") {
+  table.RecordContact(MakeMember("a", false, 2), now);
+  CHECK(!table.RecordContact(MakeMember("a", true, 1), now + seconds(9)));
   CHECK(!table.IsAlive(daemon_id("a"), now + seconds(9)));
 }
 
-TEST_CASE("orders: any order of merging: all daemons agree, none reverts") {
+TEST_CASE(
+    "orders: merged in any sequence: daemons converge, versions never "
+    "decrease") {
   rc::prop("merge is commutative, idempotent and monotone", [] {
     const auto raw =
         *rc::gen::container<std::vector<std::tuple<int, bool, int>>>(
@@ -91,16 +96,16 @@
   });
 }
 
-TEST_CASE("orders: in and out at once under one version: out wins") {
+TEST_CASE("orders: concurrent in and out with the same version: out wins") {
   const data_centre_id cheras("cheras");
-  data_centre_orders here;
-  data_centre_orders there;
-  const auto out = here.Accept(cheras, true, daemon_id("a"));
-  const auto in = there.Accept(cheras, false, daemon_id("b"));
-  here.Merge(in);
-  there.Merge(out);
-  CHECK(here.IsOut(cheras));
-  CHECK(there.IsOut(cheras));
+  data_centre_orders local;
+  data_centre_orders remote;
+  const auto out = local.Accept(cheras, true, daemon_id("a"));
+  const auto in = remote.Accept(cheras, false, daemon_id("b"));
+  local.Merge(in);
+  remote.Merge(out);
+  CHECK(local.IsOut(cheras));
+  CHECK(remote.IsOut(cheras));
 }
 
 }  // namespace
--- a/src/membership/types/member.h
+++ b/src/membership/types/member.h
@@ -1,4 +1,4 @@
-// A daemon as the others know it.
+// Identity, location and role of a daemon in the fleet.
 #pragma once
 
 #include <vector>
@@ -12,7 +12,7 @@
   incarnation life;
   data_centre_id data_centre;
   region_id region;
-  /// It may coordinate before daemons without this role.
+  /// Preferred as coordinator over daemons without this role.
   bool has_control_role = false;
 
   friend bool operator==(const member&, const member&) = default;
