--- a/src/allocation/internal/service_ledger.cc
+++ b/src/allocation/internal/service_ledger.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "allocation/service_ledger.h"
 
 #include <algorithm>
@@ -8,7 +7,7 @@
 
 namespace {
 
-// Weight of the newest sample in the smoothed cost of a request.
+// Weight of the latest sample in the moving average of the service per request.
 constexpr double kQuantumSmoothing = 0.05;
 
 }  // namespace
@@ -47,32 +46,32 @@
   for (const auto& [customer, count] : waiting) {
     account& account = accounts_[customer];
     if (account.backlog.empty()) {
-      LiftIfNewlyBacklogged(account);
+      RaiseToBackloggedMin(account);
     }
     account.backlog[router] = count;
   }
 }
 
-void service_ledger::LiftIfNewlyBacklogged(account& account) {
-  const auto [any, least] = LeastBacklogged();
+void service_ledger::RaiseToBackloggedMin(account& account) {
+  const auto [any, min_service] = MinBackloggedService();
   if (any) {
-    account.virtual_service = std::max(account.virtual_service, least);
+    account.virtual_service = std::max(account.virtual_service, min_service);
   }
 }
 
-std::pair<bool, double> service_ledger::LeastBacklogged() const {
+std::pair<bool, double> service_ledger::MinBackloggedService() const {
   bool any = false;
-  double least = std::numeric_limits<double>::max();
+  double min_service = std::numeric_limits<double>::max();
   for (const auto& [customer, account] : accounts_) {
     if (!account.backlog.empty()) {
       any = true;
-      least = std::min(least, account.virtual_service);
+      min_service = std::min(min_service, account.virtual_service);
     }
   }
-  return {any, least};
+  return {any, min_service};
 }
 
-void service_ledger::ForgetRouter(const daemon_id& router) {
+void service_ledger::RemoveRouter(const daemon_id& router) {
   for (auto& [customer, account] : accounts_) {
     account.routers.erase(router);
     account.backlog.erase(router);
@@ -84,7 +83,7 @@
   return found == accounts_.end() ? 0 : found->second.virtual_service;
 }
 
-void service_ledger::NoteRequests(double service, std::uint32_t requests) {
+void service_ledger::RecordRequests(double service, std::uint32_t requests) {
   if (requests == 0 || service <= 0) {
     return;
   }
--- a/src/allocation/internal/slot_allocation.cc
+++ b/src/allocation/internal/slot_allocation.cc
@@ -1,4 +1,4 @@
-// The division of slots by slot_coordinator.
+// Slot allocation of slot_coordinator.
 #include <algorithm>
 #include <cmath>
 #include <queue>
@@ -11,10 +11,11 @@
 
 namespace {
 
-// Smallest deficit for which slots are taken from another router.
-constexpr std::uint32_t kLeastMove = 2;
-// A target's slots are granted in pieces of this part of its limit.
-constexpr std::uint32_t kPieces = 4;
+// Smallest deficit for which slots are revoked from another router, unless the
+// router has none.
+constexpr std::uint32_t kMinTransferDeficit = 2;
+// A single grant takes at most 1/kGrantDivisor of a target's limit.
+constexpr std::uint32_t kGrantDivisor = 4;
 
 }  // namespace
 
@@ -45,7 +46,7 @@
     targets.push_back({.key = key, .limit = limit});
     capacity += limit;
   }
-  const std::vector<customer_need> needs = NeedsOf(pool, state);
+  const std::vector<customer_need> needs = CollectNeeds(pool, state);
   std::map<daemon_id, std::uint32_t> wanted =
       DivideSlots(capacity, state.ledger.quantum(), needs);
   std::uint32_t demand = 0;
@@ -65,13 +66,13 @@
   if (!scarce) {
     AddHeadroom(wanted, capacity);
   }
-  CutOverfullTargets(targets);
+  EnforceTargetLimits(targets);
   std::map<daemon_id, std::uint32_t> held = CountHeld(targets);
   RevokeSurplus(targets, wanted, held);
   GrantDeficits(targets, wanted, held, now);
 }
 
-std::vector<customer_need> slot_coordinator::NeedsOf(
+std::vector<customer_need> slot_coordinator::CollectNeeds(
     const pool_id& pool,
     const pool_state& state) const {
   std::map<customer_id, customer_need> needs;
@@ -107,8 +108,8 @@
     left -= std::min(left, count);
   }
   for (const auto& [router, state] : routers_) {
-    // Routers elsewhere have targets of their own to keep spare slots at.
-    if (state.described.data_centre != self_.data_centre) {
+    // Routers in other data centres keep spare slots at their own targets.
+    if (state.info.data_centre != self_.data_centre) {
       continue;
     }
     const auto extra = static_cast<std::uint32_t>(
@@ -119,7 +120,7 @@
   }
 }
 
-void slot_coordinator::CutOverfullTargets(std::vector<pool_target>& targets) {
+void slot_coordinator::EnforceTargetLimits(std::vector<pool_target>& targets) {
   for (pool_target& target : targets) {
     std::uint32_t left = target.limit;
     std::uint32_t bound = 0;
@@ -158,40 +159,40 @@
     const auto found = counts.find(router);
     return found == counts.end() ? 0U : found->second;
   };
-  std::uint32_t missing = 0;
+  std::uint32_t shortfall = 0;
   for (const auto& [router, count] : wanted) {
-    const std::uint32_t has = count_of(held, router);
-    const std::uint32_t deficit = count > has ? count - has : 0;
-    // Moving a busy slot leaves it idle for a round trip, so that a router
-    // that has some is not helped for one more.
-    missing += has == 0 || deficit >= kLeastMove ? deficit : 0;
+    const std::uint32_t current = count_of(held, router);
+    const std::uint32_t deficit = count > current ? count - current : 0;
+    // Moving a slot in use leaves it idle for a round trip, so that no slot is
+    // moved to a router that has some and lacks only one.
+    shortfall += current == 0 || deficit >= kMinTransferDeficit ? deficit : 0;
   }
   std::uint32_t free = 0;
   for (const pool_target& target : targets) {
     free += target.free;
   }
-  std::uint32_t to_revoke = missing > free ? missing - free : 0;
-  for (const auto& [router, has] : held) {
+  std::uint32_t to_revoke = shortfall > free ? shortfall - free : 0;
+  for (const auto& [router, current] : held) {
     const std::uint32_t keep = count_of(wanted, router);
     const std::uint32_t surplus =
-        std::min(to_revoke, has > keep ? has - keep : 0);
+        std::min(to_revoke, current > keep ? current - keep : 0);
     to_revoke -= surplus;
     if (surplus > 0) {
-      RevokeFrom(router, surplus, targets);
+      RevokeSlots(router, surplus, targets);
     }
   }
 }
 
-void slot_coordinator::RevokeFrom(const daemon_id& router,
-                                  std::uint32_t count,
-                                  const std::vector<pool_target>& targets) {
-  // Idle slots first, as they come back at once.
+void slot_coordinator::RevokeSlots(const daemon_id& router,
+                                   std::uint32_t count,
+                                   const std::vector<pool_target>& targets) {
+  // Idle slots first, as they can be reassigned without waiting for a request.
   for (const bool idle_only : {true, false}) {
     for (const pool_target& target : targets) {
       if (count == 0) {
         return;
       }
-      const lease_book::lease lease = leases_.Get(router, target.key);
+      const lease_table::lease lease = leases_.Get(router, target.key);
       const std::uint32_t available =
           idle_only ? lease.limit - std::min(lease.limit, lease.in_use)
                     : lease.limit;
@@ -209,11 +210,11 @@
     const std::map<daemon_id, std::uint32_t>& wanted,
     const std::map<daemon_id, std::uint32_t>& held,
     time_point now) {
-  // The target with the most free slots first.
-  std::priority_queue<std::pair<std::uint32_t, std::size_t>> roomiest;
+  // Targets with the most free slots first.
+  std::priority_queue<std::pair<std::uint32_t, std::size_t>> most_free;
   for (std::size_t i = 0; i < targets.size(); ++i) {
     if (targets[i].free > 0) {
-      roomiest.emplace(targets[i].free, i);
+      most_free.emplace(targets[i].free, i);
     }
   }
   for (const auto& [router, count] : wanted) {
@@ -222,22 +223,22 @@
         now - known->second.last_report >= options_.lease) {
       continue;
     }
-    const auto has = held.find(router);
-    const std::uint32_t already = has == held.end() ? 0 : has->second;
-    std::uint32_t deficit = count > already ? count - already : 0;
-    while (deficit > 0 && !roomiest.empty()) {
-      const auto [free, index] = roomiest.top();
-      roomiest.pop();
+    const auto found = held.find(router);
+    const std::uint32_t current = found == held.end() ? 0 : found->second;
+    std::uint32_t deficit = count > current ? count - current : 0;
+    while (deficit > 0 && !most_free.empty()) {
+      const auto [free, index] = most_free.top();
+      most_free.pop();
       const pool_target& target = targets[index];
-      // Slots of a large target are given out in pieces, so that a router's
-      // leases stay few.
-      const std::uint32_t piece =
-          std::min({deficit, free, std::max(1U, target.limit / kPieces)});
+      // Grants several slots of a target at a time, so that a router's leases
+      // spread over few targets.
+      const std::uint32_t granted =
+          std::min({deficit, free, std::max(1U, target.limit / kGrantDivisor)});
       SetLimit(router, target.key,
-               leases_.Get(router, target.key).limit + piece);
-      deficit -= piece;
-      if (free > piece) {
-        roomiest.emplace(free - piece, index);
+               leases_.Get(router, target.key).limit + granted);
+      deficit -= granted;
+      if (free > granted) {
+        most_free.emplace(free - granted, index);
       }
     }
   }
--- a/src/allocation/internal/slot_client.cc
+++ b/src/allocation/internal/slot_client.cc
@@ -1,39 +1,38 @@
-// See the header.
 #include "allocation/slot_client.h"
 
 namespace burdocklock::allocation {
 
 namespace {
 
-// Reports whose answers may still arrive.
-constexpr std::size_t kMaxUnanswered = 256;
+// Most reports for which the time of sending is kept until a grant answers.
+constexpr std::size_t kMaxPendingReports = 256;
 
 }  // namespace
 
-void slot_client::Stamp(router_report& report,
-                        const membership::member& coordinator,
-                        time_point now) {
-  asked_ = coordinator;
+void slot_client::PrepareReport(router_report& report,
+                                const membership::member& coordinator,
+                                time_point now) {
+  recipient_ = coordinator;
   report.sequence = ++sequence_;
   report.applied_grant = applied_grant_;
   report.applied_from = applied_from_;
-  sent_[sequence_] = now;
-  if (sent_.size() > kMaxUnanswered) {
-    sent_.erase(sent_.begin());
+  sent_at_[sequence_] = now;
+  if (sent_at_.size() > kMaxPendingReports) {
+    sent_at_.erase(sent_at_.begin());
   }
 }
 
 bool slot_client::Apply(const grant_table& grant) {
-  if (!asked_ || asked_->daemon != grant.sender.daemon ||
-      asked_->life != grant.sender.life) {
+  if (!recipient_ || recipient_->daemon != grant.sender.daemon ||
+      recipient_->life != grant.sender.life) {
     return false;
   }
-  const bool same_process = grant.sender.life == applied_from_;
-  if (same_process && grant.version <= applied_grant_) {
+  const bool same_sender = grant.sender.life == applied_from_;
+  if (same_sender && grant.version <= applied_grant_) {
     return false;
   }
-  const auto sent = sent_.find(grant.answers);
-  if (sent == sent_.end()) {
+  const auto sent = sent_at_.find(grant.answers);
+  if (sent == sent_at_.end()) {
     return false;
   }
   applied_grant_ = grant.version;
@@ -41,9 +40,10 @@
   leases_ = grant.leases;
   standings_ = grant.standings;
   valid_until_ = sent->second + lease_;
-  answered_ = grant.answers;
-  // Later grants may answer the same report again.
-  sent_.erase(sent_.begin(), sent);
+  last_answered_ = grant.answers;
+  // Keeps the entry of the answered report, as later grants may answer it
+  // again.
+  sent_at_.erase(sent_at_.begin(), sent);
   return true;
 }
 
--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -1,5 +1,4 @@
-// Reports, expiry and grants. See the header; the division of slots is in
-// slot_allocation.cc.
+// Reports, lease expiry and grants. Slot allocation is in slot_allocation.cc.
 #include "allocation/slot_coordinator.h"
 
 #include <algorithm>
@@ -20,13 +19,14 @@
   leases_ = {};
   routers_.clear();
   pools_.clear();
-  heard_since_start_.clear();
+  reported_since_start_.clear();
   expected_routers_ = expected_routers;
   adopting_until_ = now + options_.lease + options_.lease_margin;
 }
 
 bool slot_coordinator::IsAdopting(time_point now) const {
-  return now < adopting_until_ && heard_since_start_.size() < expected_routers_;
+  return now < adopting_until_ &&
+         reported_since_start_.size() < expected_routers_;
 }
 
 void slot_coordinator::OnReport(const router_report& report, time_point now) {
@@ -38,18 +38,18 @@
     OnAnnouncement(announcement, now);
   }
   if (report.leaving) {
-    OnRouterGone(sender);
+    RemoveRouter(sender);
     return;
   }
   router_state& router = routers_[sender];
-  const bool adopting = !heard_since_start_.contains(sender);
+  const bool adopting = !reported_since_start_.contains(sender);
   const bool confirmed = report.applied_from == self_.life &&
                          report.applied_grant == router.grant_version;
   if (adopting) {
     AdoptRamp(report);
   }
   leases_.Apply(sender, report.holdings, confirmed, adopting);
-  heard_since_start_.insert(sender);
+  reported_since_start_.insert(sender);
   ApplyEvidence(report, now);
   ApplyDemand(report, router);
   router.dirty = true;
@@ -61,18 +61,19 @@
   const auto known = routers_.find(sender);
   if (known != routers_.end()) {
     router_state& router = known->second;
-    if (report.sender.life < router.described.life) {
+    if (report.sender.life < router.info.life) {
       return false;
     }
-    if (report.sender.life > router.described.life) {
-      // Its earlier process has ended, and its connections with it.
-      OnRouterGone(sender);
+    if (report.sender.life > router.info.life) {
+      // The previous process has ended, which closed its connections to
+      // targets.
+      RemoveRouter(sender);
     } else if (report.sequence <= router.last_sequence) {
       return false;
     }
   }
   router_state& router = routers_[sender];
-  router.described = report.sender;
+  router.info = report.sender;
   router.last_sequence = report.sequence;
   router.last_report = now;
   return true;
@@ -93,7 +94,7 @@
     for (const customer_demand& customer : pool.customers) {
       service += ledger.Update(sender, report.sender.life, customer);
     }
-    ledger.NoteRequests(service, GoodAnswers(report, pool.pool));
+    ledger.RecordRequests(service, CountSuccesses(report, pool.pool));
     router.demand[pool.pool] = pool.customers;
   }
   for (const auto& [pool, demand] : router.demand) {
@@ -101,17 +102,17 @@
   }
 }
 
-std::uint32_t slot_coordinator::GoodAnswers(const router_report& report,
-                                            const pool_id& pool) const {
-  std::uint32_t good = 0;
+std::uint32_t slot_coordinator::CountSuccesses(const router_report& report,
+                                               const pool_id& pool) const {
+  std::uint32_t successes = 0;
   for (const targets::lease_evidence& evidence : report.evidence) {
     const targets::announcement* target =
         directory_.FindLife(evidence.target, evidence.life);
     if (target != nullptr && target->pools.front() == pool) {
-      good += evidence.good;
+      successes += evidence.good;
     }
   }
-  return good;
+  return successes;
 }
 
 void slot_coordinator::ApplyEvidence(const router_report& report,
@@ -163,12 +164,12 @@
 }
 
 bool slot_coordinator::MayAdopt(const targets::announcement& target,
-                                time_point alone_since,
+                                time_point served_since,
                                 time_point now) const {
-  // A target that was out of reach itself does not show that its own
-  // coordinator is gone.
+  // While the target itself was unreachable, it gave no evidence that its own
+  // coordinator is gone, so the wait starts when it was reachable again.
   const time_point since =
-      std::max(alone_since, directory_.HeardSince(target.target));
+      std::max(served_since, directory_.HeardSince(target.target));
   if (now - since < 2 * options_.lease + options_.lease_margin) {
     return false;
   }
@@ -182,11 +183,11 @@
   directory_.SetDataCentreOut(data_centre, out, now);
 }
 
-void slot_coordinator::OnRouterGone(const daemon_id& router) {
-  leases_.Drop(router);
+void slot_coordinator::RemoveRouter(const daemon_id& router) {
+  leases_.RemoveRouter(router);
   routers_.erase(router);
   for (auto& [pool, state] : pools_) {
-    state.ledger.ForgetRouter(router);
+    state.ledger.RemoveRouter(router);
   }
 }
 
@@ -199,7 +200,7 @@
     }
   }
   for (const daemon_id& router : expired) {
-    OnRouterGone(router);
+    RemoveRouter(router);
   }
 }
 
@@ -220,7 +221,7 @@
   grant_table grant{.sender = self_,
                     .version = state.grant_version,
                     .answers = state.last_sequence};
-  for (const auto& [data_centre, usable_from] : served_) {
+  for (const auto& [data_centre, served_since] : served_) {
     grant.served.push_back(data_centre);
   }
   for (const target_key& key : leases_.TargetsOf(router)) {
--- a/src/allocation/service_ledger.h
+++ b/src/allocation/service_ledger.h
@@ -1,4 +1,4 @@
-// Service that customers of one pool have received over all routers.
+// Service that the customers of one pool have received through all routers.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,32 @@
 namespace burdocklock::allocation {
 
 /// Merges the routers' cumulative counters. The first report of a router's
-/// incarnation sets the baseline from which its service counts, so that what
-/// happened on the other side of a partition is not held against anyone.
+/// incarnation sets the baseline for its counters, so that service received on
+/// the other side of a partition is not charged to any customer.
 ///
-/// Invariant: virtual service never decreases; a customer that becomes
-/// backlogged has at least the least virtual service of the backlogged ones.
+/// Invariant: virtual service never decreases. When a customer becomes
+/// backlogged, its virtual service is raised to at least the minimum among the
+/// backlogged customers.
 class service_ledger {
  public:
-  /// Takes one router's view of one customer. Repeated and older figures
-  /// change nothing. Returns the service that was new.
+  /// Applies one router's counter for one customer. Repeated or older values
+  /// have no effect. Returns the increase in service.
   double Update(const daemon_id& router,
                 incarnation life,
                 const customer_demand& demand);
-  /// Sets which customers have waiting requests at a router; those not named
-  /// have none.
+  /// Sets the customers that have waiting requests at a router; customers not
+  /// listed have none.
   void SetBacklog(const daemon_id& router,
                   const std::vector<customer_demand>& customers);
-  /// Forgets a router's demand, and its baseline.
-  void ForgetRouter(const daemon_id& router);
+  /// Removes a router's backlog and baselines.
+  void RemoveRouter(const daemon_id& router);
 
   [[nodiscard]] double VirtualService(const customer_id& customer) const;
-  /// Smoothed service of one request, for dividing slots.
+  /// Smoothed average service of one request, used to divide slots.
   [[nodiscard]] double quantum() const { return quantum_; }
-  /// Requests that ended well, and the service that was new meanwhile.
-  void NoteRequests(double service, std::uint32_t requests);
+  /// Updates the quantum from successful requests and the service added in the
+  /// same period.
+  void RecordRequests(double service, std::uint32_t requests);
 
  private:
   struct baseline {
@@ -47,12 +49,12 @@
     double share = 1.0;
     double virtual_service = 0;
     std::map<daemon_id, baseline> routers;
-    /// Routers at which it has waiting requests.
+    /// Waiting requests by router; nonzero entries only.
     std::map<daemon_id, std::uint32_t> backlog;
   };
 
-  void LiftIfNewlyBacklogged(account& account);
-  [[nodiscard]] std::pair<bool, double> LeastBacklogged() const;
+  void RaiseToBackloggedMin(account& account);
+  [[nodiscard]] std::pair<bool, double> MinBackloggedService() const;
 
   std::map<customer_id, account> accounts_;
   double quantum_ = 1.0;
--- a/src/allocation/slot_client.h
+++ b/src/allocation/slot_client.h
@@ -1,4 +1,4 @@
-// A router's side of the slot leases: builds its reports and applies grants.
+// Router side of the slot leases: numbers reports and applies grants.
 #pragma once
 
 #include <cstdint>
@@ -16,23 +16,24 @@
 
 /// Leases of one data centre's targets at this router.
 ///
-/// Invariant: a lease is valid until `lease` after the sending of the report
-/// that its grant answers, so that it ends here before the coordinator counts
-/// it as ended.
+/// Invariant: a lease is valid for `lease` from the time at which the router
+/// sent the report that the grant answers. It therefore expires here before the
+/// coordinator treats it as expired.
 class slot_client {
  public:
   explicit slot_client(duration lease) : lease_(lease) {}
 
-  /// Numbers a report and notes when it was sent. `coordinator` names the
-  /// process that it goes to.
-  void Stamp(router_report& report,
-             const membership::member& coordinator,
-             time_point now);
-  /// Takes a grant; false if it is late or repeated, or comes from a process
-  /// that was not asked.
+  /// Sets the report's sequence number and the last applied grant, and records
+  /// the time of sending. `coordinator` is the process that receives the
+  /// report.
+  void PrepareReport(router_report& report,
+                     const membership::member& coordinator,
+                     time_point now);
+  /// Applies a grant. Returns false if it is outdated or repeated, or if its
+  /// sender is not the recipient of the last report.
   bool Apply(const grant_table& grant);
 
-  /// Leases in force, if the last grant has not run out.
+  /// Leases of the last grant; in force until `valid_until`.
   [[nodiscard]] const std::vector<targets::target_lease>& leases() const {
     return leases_;
   }
@@ -42,15 +43,16 @@
   }
   /// Sequence number of the last report.
   [[nodiscard]] std::uint64_t last_sequence() const { return sequence_; }
-  [[nodiscard]] std::uint64_t answered() const { return answered_; }
+  /// Sequence number of the report that the last grant answers.
+  [[nodiscard]] std::uint64_t last_answered() const { return last_answered_; }
 
  private:
   duration lease_;
   std::uint64_t sequence_ = 0;
-  std::uint64_t answered_ = 0;
-  std::map<std::uint64_t, time_point> sent_;
-  /// The process to which the last report went.
-  std::optional<membership::member> asked_;
+  std::uint64_t last_answered_ = 0;
+  std::map<std::uint64_t, time_point> sent_at_;
+  /// Recipient of the last report.
+  std::optional<membership::member> recipient_;
   std::uint64_t applied_grant_ = 0;
   incarnation applied_from_;
   std::vector<targets::target_lease> leases_;
--- a/src/allocation/slot_coordinator.h
+++ b/src/allocation/slot_coordinator.h
@@ -1,5 +1,5 @@
-// Coordinates the targets of one data centre: keeps their ramps, leases their
-// slots to routers and keeps the fleet's service counters.
+// Coordinator of the targets of a data centre: tracks their ramp limits, leases
+// their slots to routers, and merges the routers' service counters.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 #include <set>
 #include <vector>
 
-#include "allocation/lease_book.h"
+#include "allocation/lease_table.h"
 #include "allocation/service_ledger.h"
 #include "allocation/slot_division.h"
 #include "allocation/types/grant.h"
@@ -22,61 +22,62 @@
 namespace burdocklock::allocation {
 
 struct coordinator_options {
-  /// A router uses its slots this long after it sent the report that the
-  /// grant answers.
+  /// Lease duration, counted from the time at which the router sent the report
+  /// that the grant answers.
   duration lease = std::chrono::seconds(3);
-  /// Added before the coordinator gives an expired lease to another router.
+  /// Additional time before the coordinator grants the slots of an expired
+  /// lease to another router.
   duration lease_margin = std::chrono::milliseconds(500);
-  /// Spare slots that a router is offered, as a share of its demand.
+  /// Spare slots granted to a router, as a fraction of its demand.
   double headroom = 0.25;
   targets::directory_options directory;
 };
 
-/// Deterministic state machine. A coordinator that has just started, or has
-/// just become the coordinator, adopts the leases that routers claim and
-/// grants nothing else until every expected router has reported or all earlier
-/// leases have run out.
+/// Deterministic state machine. After it starts or takes over, a coordinator
+/// adopts the leases that routers report, and grants nothing else until every
+/// expected router has reported or all earlier leases have expired.
 ///
-/// Invariants: the slots that routers may be using at a target never exceed
-/// its ramp limit except where a cut has just lowered that limit, and then
-/// nothing is granted until they are back within it; nothing is granted at
-/// targets that are not ready, silent, or in a data centre that is out.
+/// Invariants: the slots that routers may be using at a target never exceed its
+/// ramp limit, except after that limit was lowered; then nothing is granted
+/// until usage is back within the limit. Nothing is granted at targets that are
+/// not ready, that have stopped announcing themselves, or whose data centre is
+/// out of service.
 class slot_coordinator {
  public:
   slot_coordinator(membership::member self,
                    coordinator_options options,
                    i_random& random);
 
-  /// Begins to coordinate. `expected_routers` others may hold leases of an
-  /// earlier coordinator.
+  /// Starts coordinating with empty state. Up to `expected_routers` routers may
+  /// hold leases from an earlier coordinator.
   void Start(std::size_t expected_routers, time_point now);
   void OnReport(const router_report& report, time_point now);
   targets::announce_result OnAnnouncement(
       const targets::announcement& announcement,
       time_point now);
-  /// The data centres whose targets this coordinator leases out. Those of
-  /// another data centre only once all leases of its own coordinator have
-  /// certainly run out.
+  /// Sets the data centres whose targets this coordinator leases. Targets of
+  /// another data centre are leased only after every lease of that data
+  /// centre's own coordinator must have expired.
   void SetServed(const std::vector<data_centre_id>& data_centres,
                  time_point now);
   void SetDataCentreOut(const data_centre_id& data_centre,
                         bool out,
                         time_point now);
-  /// A router has left or its process is known to have ended.
-  void OnRouterGone(const daemon_id& router);
-  /// Expires leases and divides slots anew.
+  /// Removes a router that has left or whose process is known to have ended.
+  void RemoveRouter(const daemon_id& router);
+  /// Expires leases and recomputes the allocation of slots.
   void Allocate(time_point now);
 
-  /// Grants that have changed since they were last taken, or that answer a
+  /// Returns the grants that have changed since the last call or that answer a
   /// report.
   std::vector<std::pair<daemon_id, grant_table>> TakeGrants();
 
   [[nodiscard]] const targets::target_directory& directory() const {
     return directory_;
   }
-  [[nodiscard]] const lease_book& leases() const { return leases_; }
+  [[nodiscard]] const lease_table& leases() const { return leases_; }
   [[nodiscard]] bool IsAdopting(time_point now) const;
-  /// Service and demand by pool, for operators.
+  /// Service and demand of a customer in a pool, for operators.
   struct customer_view {
     pool_id pool;
     customer_id customer;
@@ -89,7 +90,7 @@
 
  private:
   struct router_state {
-    membership::member described;
+    membership::member info;
     std::uint64_t last_sequence = 0;
     std::uint64_t grant_version = 0;
     time_point last_report{};
@@ -104,38 +105,39 @@
   struct pool_target {
     target_key key;
     std::uint32_t limit = 0;
-    /// Slots within the limit that nobody may be using.
+    /// Slots within the limit that no router may be using.
     std::uint32_t free = 0;
   };
 
   [[nodiscard]] bool MayLease(const targets::announcement& target,
                               time_point now) const;
-  /// Nobody else can hold leases on a target of another data centre.
+  /// True if no other coordinator's leases on a target of another data centre
+  /// can still be in force.
   [[nodiscard]] bool MayAdopt(const targets::announcement& target,
-                              time_point alone_since,
+                              time_point served_since,
                               time_point now) const;
   bool AcceptSender(const router_report& report, time_point now);
   void ApplyDemand(const router_report& report, router_state& router);
-  std::uint32_t GoodAnswers(const router_report& report,
-                            const pool_id& pool) const;
+  std::uint32_t CountSuccesses(const router_report& report,
+                               const pool_id& pool) const;
   void ApplyEvidence(const router_report& report, time_point now);
   void AdoptRamp(const router_report& report);
   void ExpireRouters(time_point now);
   void AllocatePool(const pool_id& pool, pool_state& state, time_point now);
-  std::vector<customer_need> NeedsOf(const pool_id& pool,
-                                     const pool_state& state) const;
+  std::vector<customer_need> CollectNeeds(const pool_id& pool,
+                                          const pool_state& state) const;
   void AddHeadroom(std::map<daemon_id, std::uint32_t>& wanted,
                    std::uint32_t capacity) const;
-  /// Brings leases within the targets' limits and counts free slots.
-  void CutOverfullTargets(std::vector<pool_target>& targets);
+  /// Reduces leases to the targets' limits and counts the free slots.
+  void EnforceTargetLimits(std::vector<pool_target>& targets);
   [[nodiscard]] std::map<daemon_id, std::uint32_t> CountHeld(
       const std::vector<pool_target>& targets) const;
   void RevokeSurplus(const std::vector<pool_target>& targets,
                      const std::map<daemon_id, std::uint32_t>& wanted,
                      const std::map<daemon_id, std::uint32_t>& held);
-  void RevokeFrom(const daemon_id& router,
-                  std::uint32_t count,
-                  const std::vector<pool_target>& targets);
+  void RevokeSlots(const daemon_id& router,
+                   std::uint32_t count,
+                   const std::vector<pool_target>& targets);
   void GrantDeficits(const std::vector<pool_target>& targets,
                      const std::map<daemon_id, std::uint32_t>& wanted,
                      const std::map<daemon_id, std::uint32_t>& held,
@@ -148,17 +150,18 @@
   membership::member self_;
   coordinator_options options_;
   targets::target_directory directory_;
-  lease_book leases_;
+  lease_table leases_;
   std::map<daemon_id, router_state> routers_;
   std::map<pool_id, pool_state> pools_;
-  /// Versions rise over all routers and are never used twice, so that a router
-  /// that was forgotten and came back cannot confirm a grant it has not seen.
+  /// Versions increase across all routers and are never reused, so that a
+  /// router that was removed and returns cannot confirm a grant it has not
+  /// received.
   std::uint64_t last_grant_version_ = 0;
-  /// Served data centres, and since when.
+  /// Served data centres, with the time since which each is served.
   std::map<data_centre_id, time_point> served_;
   time_point adopting_until_{};
   std::size_t expected_routers_ = 0;
-  std::set<daemon_id> heard_since_start_;
+  std::set<daemon_id> reported_since_start_;
 };
 
 }  // namespace burdocklock::allocation
--- a/src/allocation/types/grant.h
+++ b/src/allocation/types/grant.h
@@ -1,4 +1,4 @@
-// What the coordinator of a data centre tells a router.
+// Grant message: sent by the coordinator of a data centre to a router.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,26 @@
 
 struct customer_standing {
   customer_id customer;
-  /// Service over all routers divided by share, with lifts.
+  /// Service received through all routers divided by the share, raised when
+  /// the customer becomes backlogged (see service_ledger).
   double virtual_service = 0;
 };
 
 struct pool_standing {
   pool_id pool;
-  /// Slots of the data centre's usable targets.
+  /// Total slots of the data centre's usable targets.
   std::uint32_t capacity = 0;
-  /// More requests want slots than there are: idle ones are to be returned.
+  /// Demand exceeds capacity; routers should return idle slots.
   bool scarce = false;
-  /// Customers that the router has reported.
+  /// The customers that the router has reported.
   std::vector<customer_standing> customers;
 };
 
-/// The whole of what a router holds; leases that are missing have ended.
+/// Complete set of a router's leases; a lease that is not listed has ended.
 struct grant_table {
   membership::member sender;
   std::uint64_t version = 0;
-  /// Sequence number of the last report taken into account.
+  /// Sequence number of the last report that the coordinator has processed.
   std::uint64_t answers = 0;
   /// Data centres whose targets the sender coordinates.
   std::vector<data_centre_id> served;
--- a/src/allocation/types/report.h
+++ b/src/allocation/types/report.h
@@ -1,4 +1,4 @@
-// What a router tells the coordinator of a data centre.
+// Report message: sent by a router to the coordinator of a data centre.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
 struct customer_demand {
   customer_id customer;
   double share = 1.0;
-  /// Requests for which the router wants slots of this data centre.
+  /// Queued requests for which the router asks for slots of this data centre.
   std::uint32_t waiting = 0;
-  /// Requests that run on targets of this data centre.
+  /// Requests running on targets of this data centre.
   std::uint32_t running = 0;
   /// Service received through this router since it started, in service units.
   double service = 0;
@@ -29,22 +29,22 @@
   std::vector<customer_demand> customers;
 };
 
-/// Slots of one target as the router sees them.
+/// A router's slots at one target.
 struct slot_holding {
   target_id target;
   incarnation life;
-  /// The router will not exceed this number by itself.
+  /// The router uses no more slots than this unless a new grant raises it.
   std::uint32_t limit = 0;
   std::uint32_t in_use = 0;
-  /// The coordinator's ramp limit that the router was last told.
+  /// Ramp limit of the target in the last grant received.
   std::uint32_t ramp_limit = 0;
 };
 
 struct router_report {
   membership::member sender;
-  /// Counts the reports of one incarnation to one coordinator.
+  /// Increases with each report of one incarnation to one coordinator.
   std::uint64_t sequence = 0;
-  /// Version of the grant that `holdings` take into account.
+  /// Version of the last grant reflected in `holdings`.
   std::uint64_t applied_grant = 0;
   /// The coordinator incarnation that issued that grant.
   incarnation applied_from;
@@ -53,7 +53,7 @@
   std::vector<targets::lease_evidence> evidence;
   std::vector<targets::announcement> announcements;
   std::vector<membership::data_centre_order> orders;
-  /// The router leaves and gives its slots back.
+  /// The router is shutting down and returns all its slots.
   bool leaving = false;
 };
 
--- a/src/fleet/internal/fleet_node.cc
+++ b/src/fleet/internal/fleet_node.cc
@@ -246,7 +246,7 @@
     allocation::router_report report{.sender = options_.self, .leaving = true};
     const auto described = FindAlive(coordinator, now);
     if (described && coordinator != options_.self.daemon) {
-      state.client.Stamp(report, *described, now);
+      state.client.PrepareReport(report, *described, now);
       SendTo(coordinator, report);
     }
   }
--- a/src/fleet/internal/fleet_reports.cc
+++ b/src/fleet/internal/fleet_reports.cc
@@ -133,7 +133,7 @@
     }
   }
   FillDemand(report, state, coordinator, served, loads);
-  state.client.Stamp(report, *described, now);
+  state.client.PrepareReport(report, *described, now);
   if (coordinator == options_.self.daemon) {
     Handle(link_id(0), report, now, out);
     return;
@@ -302,7 +302,7 @@
 void fleet_node::ApplyStandings(const reporting& state) {
   // Only an answer to the last report can be compared with what has been
   // charged since.
-  if (state.client.answered() != state.client.last_sequence()) {
+  if (state.client.last_answered() != state.client.last_sequence()) {
     return;
   }
   const load_list loads = router_.Load();
