--- a/src/allocation/internal/slot_allocation.cc
+++ b/src/allocation/internal/slot_allocation.cc
@@ -11,10 +11,10 @@
 
 namespace {
 
-// Smallest deficit for which slots are revoked from another router, unless the
-// router has none.
+// Smallest deficit of a router for which slots are revoked from another one; a
+// router that has none gets a single slot too.
 constexpr std::uint32_t kMinTransferDeficit = 2;
-// A single grant takes at most 1/kGrantDivisor of a target's limit.
+// An allocation step takes at most 1/kGrantDivisor of a target's limit.
 constexpr std::uint32_t kGrantDivisor = 4;
 
 }  // namespace
@@ -163,8 +163,8 @@
   for (const auto& [router, count] : wanted) {
     const std::uint32_t current = count_of(held, router);
     const std::uint32_t deficit = count > current ? count - current : 0;
-    // Moving a slot in use leaves it idle for a round trip, so that no slot is
-    // moved to a router that has some and lacks only one.
+    // Moving a slot in use leaves it idle for a round trip. It isn't worth that
+    // to move one to a router that has some and lacks only one.
     shortfall += current == 0 || deficit >= kMinTransferDeficit ? deficit : 0;
   }
   std::uint32_t free = 0;
--- a/src/allocation/internal/slot_client.cc
+++ b/src/allocation/internal/slot_client.cc
@@ -27,8 +27,8 @@
       recipient_->life != grant.sender.life) {
     return false;
   }
-  const bool same_sender = grant.sender.life == applied_from_;
-  if (same_sender && grant.version <= applied_grant_) {
+  const bool same_incarnation = grant.sender.life == applied_from_;
+  if (same_incarnation && grant.version <= applied_grant_) {
     return false;
   }
   const auto sent = sent_at_.find(grant.answers);
--- a/src/fleet/fleet_node.h
+++ b/src/fleet/fleet_node.h
@@ -1,5 +1,5 @@
-// A daemon's part in the fleet: membership, coordination of its data centre's
-// targets when it is its turn, and the leases of its own router.
+// Per-daemon fleet logic: membership, coordination of its data centre's targets
+// while it is the coordinator, and the leases of its own router.
 #pragma once
 
 #include <cstdint>
@@ -24,18 +24,19 @@
 
 struct fleet_options {
   membership::member self;
-  /// Outbound links, which the owner opens and numbers from 1.
+  /// Number of outbound links; the owner opens them and numbers them from 1.
   std::size_t peer_count = 0;
-  duration heartbeat = std::chrono::seconds(1);
-  /// A link or member silent for this time is given up.
-  duration silence = std::chrono::seconds(3);
-  /// Least time between two reports to one coordinator.
-  duration report_spacing = std::chrono::milliseconds(5);
+  duration heartbeat_interval = std::chrono::seconds(1);
+  /// Time without messages after which a link is reopened or a member counts as
+  /// dead.
+  duration peer_timeout = std::chrono::seconds(3);
+  /// Minimum time between two reports to one coordinator.
+  duration min_report_interval = std::chrono::milliseconds(5);
   allocation::coordinator_options coordinator;
 };
 
-/// Deterministic state machine over a port. The router must work with leases
-/// (directory_options::leased).
+/// Deterministic state machine that communicates through a port. The router
+/// must use leases (directory_options::leased).
 class fleet_node {
  public:
   fleet_node(fleet_options options,
@@ -44,7 +45,7 @@
              i_fleet_port& port,
              time_point now);
 
-  /// An outbound link was opened, or opened again.
+  /// An outbound link was opened or reopened.
   void OnLinkUp(link_id link, time_point now);
   void OnMessage(link_id link,
                  const message& message,
@@ -54,28 +55,30 @@
       const targets::announcement& announcement,
       time_point now,
       routing::effects& out);
-  /// Call after every event of the router: asks for slots that it needs and
-  /// returns those that others need.
+  /// Must be called after every event of the router: requests the slots that it
+  /// needs and returns idle slots that other routers need.
   void AfterRouterEvent(time_point now, routing::effects& out);
-  /// Call when `NextDeadline` has passed.
+  /// Must be called once `NextDeadline` has passed.
   void OnTick(time_point now, routing::effects& out);
   [[nodiscard]] time_point NextDeadline() const;
 
-  /// An operator's order, accepted here and passed on.
+  /// Accepts an operator's order and sends it to all peers.
   membership::data_centre_order OrderDataCentre(
       const data_centre_id& data_centre,
       bool out,
       time_point now,
       routing::effects& effects);
-  /// A planned outage has begun or ended; known to every daemon by its sheet.
+  /// A planned outage has begun or ended. It isn't sent to peers, as every
+  /// daemon reads it from its own sheet.
   void SetPlannedOutage(const data_centre_id& data_centre,
                         bool out,
                         time_point now,
                         routing::effects& effects);
-  /// A shutdown begins: others coordinate from now on. Requests that wait or
-  /// run here are finished with slots of the new coordinator.
+  /// Starts a shutdown: another daemon, if any, takes over coordination.
+  /// Requests that wait or run here are completed with slots from the new
+  /// coordinator.
   void BeginLeave(time_point now);
-  /// The last request has ended: gives all slots back.
+  /// Called after the last request has ended: returns all slots.
   void EndLeave(time_point now);
 
   [[nodiscard]] const membership::member_table& members() const {
@@ -92,18 +95,18 @@
  private:
   struct link_state {
     std::optional<membership::member> peer;
-    time_point last_heard;
+    time_point last_contact;
   };
-  /// What this router last told one coordinator.
-  struct reporting {
-    explicit reporting(duration lease) : client(lease) {}
+  /// State of this router's reports to one coordinator.
+  struct report_state {
+    explicit report_state(duration lease) : client(lease) {}
 
     allocation::slot_client client;
     time_point last_report{};
     bool urgent = false;
-    /// Customers that were reported as waiting.
+    /// Customers with waiting requests in the last report.
     std::set<std::pair<pool_id, customer_id>> waiting;
-    /// Service as reported last, by pool and customer.
+    /// Last reported service, by pool and customer.
     std::map<std::pair<pool_id, customer_id>, double> service;
     std::vector<targets::announcement> announcements;
   };
@@ -121,7 +124,7 @@
               const allocation::grant_table& grant,
               time_point now,
               routing::effects& out);
-  void SendHello(link_id link, bool leaving);
+  void SendHeartbeat(link_id link, bool leaving);
   void MergeOrders(const std::vector<membership::data_centre_order>& orders,
                    time_point now,
                    routing::effects& out);
@@ -134,42 +137,43 @@
   [[nodiscard]] std::optional<membership::member> CoordinatorFor(
       const data_centre_id& data_centre,
       time_point now) const;
-  /// Coordinators of the region, each with the data centres that it serves.
+  /// Coordinators of the region, each with the data centres that it
+  /// coordinates.
   [[nodiscard]] std::map<daemon_id, std::vector<data_centre_id>> Coordinators(
       time_point now) const;
   [[nodiscard]] std::optional<membership::member> FindAlive(
       const daemon_id& daemon,
       time_point now) const;
   void SendTo(const daemon_id& daemon, const message& message);
-  reporting& ReportingTo(const daemon_id& coordinator);
+  report_state& ReportStateFor(const daemon_id& coordinator);
 
-  void ReportWhereDue(time_point now, routing::effects& out);
+  void SendDueReports(time_point now, routing::effects& out);
   [[nodiscard]] bool IsDue(const daemon_id& coordinator,
-                           const reporting& state,
+                           const report_state& state,
                            time_point now) const;
-  [[nodiscard]] bool MayBeUrgent();
+  [[nodiscard]] bool NeedsUrgencyCheck();
   void MarkUrgent(const load_list& loads, time_point now);
-  void Report(const daemon_id& coordinator,
-              const std::vector<data_centre_id>& served,
-              const load_list& loads,
-              time_point now,
-              routing::effects& out);
+  void SendReport(const daemon_id& coordinator,
+                  const std::vector<data_centre_id>& served,
+                  const load_list& loads,
+                  time_point now,
+                  routing::effects& out);
   void FillDemand(allocation::router_report& report,
-                  reporting& state,
+                  report_state& state,
                   const daemon_id& coordinator,
                   const std::vector<data_centre_id>& served,
                   const load_list& loads) const;
-  [[nodiscard]] std::uint32_t WaitingFor(const daemon_id& coordinator,
-                                         const pool_id& pool,
-                                         std::uint32_t waiting) const;
+  [[nodiscard]] std::uint32_t WaitingToReport(const daemon_id& coordinator,
+                                              const pool_id& pool,
+                                              std::uint32_t waiting) const;
   void ApplyGrant(const allocation::grant_table& grant,
                   time_point now,
                   routing::effects& out);
-  void NoteLeaseChanges(const data_centre_id& data_centre,
+  void EmitLeaseChanges(const data_centre_id& data_centre,
                         const std::vector<targets::target_lease>& leases,
                         const daemon_id& lessor,
                         routing::effects& out) const;
-  void ApplyStandings(const reporting& state);
+  void ApplyStandings(const report_state& state);
   void UpdateCapacity(time_point now);
   void SendGrants(time_point now, routing::effects& out);
 
@@ -183,12 +187,12 @@
   allocation::slot_coordinator coordinator_;
   bool is_coordinator_ = false;
   bool leaving_ = false;
-  /// A change of role that has not been made known yet.
+  /// A change of role that has not been published yet.
   std::optional<bool> pending_role_change_;
   std::map<link_id, link_state> outbound_;
-  /// The link on which each router's last report came.
+  /// The link on which each router's last report arrived.
   std::map<daemon_id, link_id> report_links_;
-  std::map<daemon_id, reporting> reporting_;
+  std::map<daemon_id, report_state> report_states_;
   time_point next_heartbeat_;
   time_point next_report_check_ = kNever;
 };
--- a/src/fleet/i_fleet_port.h
+++ b/src/fleet/i_fleet_port.h
@@ -1,4 +1,4 @@
-// Port: links to other daemons.
+// Interface for sending messages over links to other daemons.
 #pragma once
 
 #include "fleet/types/message.h"
@@ -9,9 +9,9 @@
  public:
   virtual ~i_fleet_port() = default;
 
-  /// Sends, or drops the message if the link is down.
+  /// Sends the message, or drops it if the link is down.
   virtual void Send(link_id link, const message& message) = 0;
-  /// Gives a silent outbound link up and opens a new connection for it.
+  /// Closes an outbound link that has timed out and opens a new connection.
   virtual void Reopen(link_id link) = 0;
 };
 
--- a/src/fleet/internal/fleet_node.cc
+++ b/src/fleet/internal/fleet_node.cc
@@ -1,5 +1,4 @@
-// Links, membership and orders. See the header; reports and grants are in
-// fleet_reports.cc.
+// Links, membership and orders. Reports and grants are in fleet_reports.cc.
 #include "fleet/fleet_node.h"
 
 #include <algorithm>
@@ -14,19 +13,19 @@
     : options_(std::move(options)),
       router_(router),
       port_(port),
-      members_(options_.self, options_.silence),
+      members_(options_.self, options_.peer_timeout),
       coordinator_(options_.self, options_.coordinator, random),
       next_heartbeat_(now) {
   known_data_centres_.insert(options_.self.data_centre);
   for (std::size_t i = 1; i <= options_.peer_count; ++i) {
-    outbound_[link_id(i)].last_heard = now;
+    outbound_[link_id(i)].last_contact = now;
   }
   UpdateRole(now);
 }
 
 void fleet_node::OnLinkUp(link_id link, time_point now) {
-  outbound_[link].last_heard = now;
-  SendHello(link, false);
+  outbound_[link].last_contact = now;
+  SendHeartbeat(link, false);
 }
 
 void fleet_node::OnMessage(link_id link,
@@ -42,7 +41,7 @@
                         time_point now,
                         routing::effects& out) {
   if (hello.leaving) {
-    // It goes on reporting until its last request has ended.
+    // The member keeps sending reports until its last request has ended.
     members_.MarkLeft(hello.sender.daemon);
   } else {
     members_.RecordContact(hello.sender, now);
@@ -50,16 +49,16 @@
   MergeOrders(hello.orders, now, out);
   const auto found = outbound_.find(link);
   if (found == outbound_.end()) {
-    // Heartbeats of others are answered on the link on which they came.
-    SendHello(link, leaving_);
+    // Replies to a heartbeat from a peer on the inbound link it arrived on.
+    SendHeartbeat(link, leaving_);
     return;
   }
   found->second.peer = hello.sender;
-  found->second.last_heard = now;
+  found->second.last_contact = now;
   UpdateRole(now);
 }
 
-void fleet_node::SendHello(link_id link, bool leaving) {
+void fleet_node::SendHeartbeat(link_id link, bool leaving) {
   port_.Send(link, hello{.sender = options_.self,
                          .orders = orders_.All(),
                          .leaving = leaving});
@@ -73,7 +72,7 @@
     if (orders_.Merge(order)) {
       ApplyOutage(order.data_centre, now, out);
       for (const auto& [link, state] : outbound_) {
-        SendHello(link, leaving_);
+        SendHeartbeat(link, leaving_);
       }
     }
   }
@@ -88,7 +87,7 @@
       orders_.Accept(data_centre, out, options_.self.daemon);
   ApplyOutage(data_centre, now, effects);
   for (const auto& [link, state] : outbound_) {
-    SendHello(link, leaving_);
+    SendHeartbeat(link, leaving_);
   }
   return order;
 }
@@ -129,9 +128,10 @@
     return result;
   }
   if (coordinator->daemon != options_.self.daemon) {
-    reporting& state = ReportingTo(coordinator->daemon);
+    report_state& state = ReportStateFor(coordinator->daemon);
     state.announcements.push_back(announcement);
-    // Leaving targets must get no new work, new ones are to be used.
+    // Leaving targets must get no new requests, and new targets should be used
+    // soon.
     state.urgent |= result != targets::announce_result::kUpdated ||
                     announcement.state == targets::target_state::kLeaving;
   } else if (is_coordinator_) {
@@ -143,10 +143,10 @@
 
 void fleet_node::OnTick(time_point now, routing::effects& out) {
   if (now >= next_heartbeat_) {
-    next_heartbeat_ = now + options_.heartbeat;
+    next_heartbeat_ = now + options_.heartbeat_interval;
     CheckLinks(now);
     for (const auto& [link, state] : outbound_) {
-      SendHello(link, leaving_);
+      SendHeartbeat(link, leaving_);
     }
     UpdateRole(now);
     UpdateCapacity(now);
@@ -170,8 +170,8 @@
 
 void fleet_node::CheckLinks(time_point now) {
   for (auto& [link, state] : outbound_) {
-    if (now - state.last_heard >= options_.silence) {
-      state.last_heard = now;
+    if (now - state.last_contact >= options_.peer_timeout) {
+      state.last_contact = now;
       port_.Reopen(link);
     }
   }
@@ -205,7 +205,8 @@
   if (auto local = members_.Coordinator(data_centre, now)) {
     return local;
   }
-  // Nobody is left there: the first coordinator of the region adopts it.
+  // No daemon is alive there: the coordinator with the smallest daemon id in
+  // the region takes over its targets.
   std::optional<membership::member> first;
   for (const data_centre_id& other : members_.DataCentres(now)) {
     const auto candidate = members_.Coordinator(other, now);
@@ -236,17 +237,17 @@
   members_.MarkSelfLeaving();
   UpdateRole(now);
   for (const auto& [link, state] : outbound_) {
-    SendHello(link, true);
+    SendHeartbeat(link, true);
   }
 }
 
 void fleet_node::EndLeave(time_point now) {
   for (const auto& [coordinator, served] : Coordinators(now)) {
-    reporting& state = ReportingTo(coordinator);
+    report_state& state = ReportStateFor(coordinator);
     allocation::router_report report{.sender = options_.self, .leaving = true};
-    const auto described = FindAlive(coordinator, now);
-    if (described && coordinator != options_.self.daemon) {
-      state.client.PrepareReport(report, *described, now);
+    const auto recipient = FindAlive(coordinator, now);
+    if (recipient && coordinator != options_.self.daemon) {
+      state.client.PrepareReport(report, *recipient, now);
       SendTo(coordinator, report);
     }
   }
--- a/src/fleet/internal/fleet_reports.cc
+++ b/src/fleet/internal/fleet_reports.cc
@@ -1,4 +1,4 @@
-// Reports to coordinators and grants from them.
+// Sending and handling of reports and grants.
 #include <algorithm>
 #include <utility>
 
@@ -20,26 +20,27 @@
 
 }  // namespace
 
-fleet_node::reporting& fleet_node::ReportingTo(const daemon_id& coordinator) {
-  return reporting_
-      .try_emplace(coordinator, reporting(options_.coordinator.lease))
+fleet_node::report_state& fleet_node::ReportStateFor(
+    const daemon_id& coordinator) {
+  return report_states_
+      .try_emplace(coordinator, report_state(options_.coordinator.lease))
       .first->second;
 }
 
 void fleet_node::AfterRouterEvent(time_point now, routing::effects& out) {
-  if (MayBeUrgent()) {
+  if (NeedsUrgencyCheck()) {
     MarkUrgent(router_.Load(), now);
   }
-  ReportWhereDue(now, out);
+  SendDueReports(now, out);
 }
 
-bool fleet_node::MayBeUrgent() {
+bool fleet_node::NeedsUrgencyCheck() {
   if (router_.totals().waiting > 0 ||
       router_.mutable_directory().HasUrgentEvidence()) {
     return true;
   }
   return std::any_of(
-      reporting_.begin(), reporting_.end(), [](const auto& entry) {
+      report_states_.begin(), report_states_.end(), [](const auto& entry) {
         const auto& standings = entry.second.client.standings();
         return std::any_of(standings.begin(), standings.end(),
                            [](const pool_standing& s) { return s.scarce; });
@@ -54,66 +55,66 @@
       continue;
     }
     waiting_pools.insert(load.pool);
-    for (auto& [coordinator, state] : reporting_) {
+    for (auto& [coordinator, state] : report_states_) {
       if (!state.waiting.contains({load.pool, load.customer})) {
         state.urgent = true;
       }
     }
   }
-  for (auto& [coordinator, state] : reporting_) {
+  for (auto& [coordinator, state] : report_states_) {
     for (const pool_standing& standing : state.client.standings()) {
-      const bool others_need =
+      const bool needed_elsewhere =
           standing.scarce && !waiting_pools.contains(standing.pool);
-      if (others_need && directory.FreeLeased(standing.pool, now) > 0 &&
+      if (needed_elsewhere && directory.FreeLeased(standing.pool, now) > 0 &&
           directory.ReturnIdle(standing.pool)) {
         state.urgent = true;
       }
     }
   }
   if (directory.HasUrgentEvidence()) {
-    for (auto& [coordinator, state] : reporting_) {
+    for (auto& [coordinator, state] : report_states_) {
       state.urgent = true;
     }
   }
 }
 
 bool fleet_node::IsDue(const daemon_id& coordinator,
-                       const reporting& state,
+                       const report_state& state,
                        time_point now) const {
   const duration age = now - state.last_report;
-  // Messages to oneself cost nothing.
+  // Reports to this daemon itself are not sent over the network.
   const duration spacing = coordinator == options_.self.daemon
                                ? duration::zero()
-                               : options_.report_spacing;
-  return age >= options_.heartbeat || (state.urgent && age >= spacing);
+                               : options_.min_report_interval;
+  return age >= options_.heartbeat_interval || (state.urgent && age >= spacing);
 }
 
-void fleet_node::ReportWhereDue(time_point now, routing::effects& out) {
+void fleet_node::SendDueReports(time_point now, routing::effects& out) {
   next_report_check_ = kNever;
   if (leaving_ && router_.totals().waiting + router_.totals().in_flight == 0) {
     return;
   }
   for (const auto& [coordinator, served] : Coordinators(now)) {
-    reporting& state = ReportingTo(coordinator);
+    report_state& state = ReportStateFor(coordinator);
     if (IsDue(coordinator, state, now)) {
-      Report(coordinator, served, router_.Load(), now, out);
+      SendReport(coordinator, served, router_.Load(), now, out);
     } else if (state.urgent) {
       next_report_check_ = std::min(
-          next_report_check_, state.last_report + options_.report_spacing);
+          next_report_check_, state.last_report + options_.min_report_interval);
     }
   }
 }
 
-void fleet_node::Report(const daemon_id& coordinator,
-                        const std::vector<data_centre_id>& served,
-                        const load_list& loads,
-                        time_point now,
-                        routing::effects& out) {
-  const auto described = FindAlive(coordinator, now);
-  if (!described) {
+void fleet_node::SendReport(const daemon_id& coordinator,
+                            const std::vector<data_centre_id>& served,
+                            const load_list& loads,
+                            time_point now,
+                            routing::effects& out) {
+  const auto recipient = FindAlive(coordinator, now);
+  if (!recipient) {
     return;
   }
-  reporting& state = ReportingTo(coordinator);
+  report_state& state = ReportStateFor(coordinator);
   state.last_report = now;
   state.urgent = false;
   allocation::router_report report{.sender = options_.self,
@@ -133,7 +134,7 @@
     }
   }
   FillDemand(report, state, coordinator, served, loads);
-  state.client.PrepareReport(report, *described, now);
+  state.client.PrepareReport(report, *recipient, now);
   if (coordinator == options_.self.daemon) {
     Handle(link_id(0), report, now, out);
     return;
@@ -142,7 +143,7 @@
 }
 
 void fleet_node::FillDemand(allocation::router_report& report,
-                            reporting& state,
+                            report_state& state,
                             const daemon_id& coordinator,
                             const std::vector<data_centre_id>& served,
                             const load_list& loads) const {
@@ -166,7 +167,7 @@
     demand[load.pool].push_back(
         {.customer = load.customer,
          .share = load.share,
-         .waiting = WaitingFor(coordinator, load.pool, load.waiting),
+         .waiting = WaitingToReport(coordinator, load.pool, load.waiting),
          .running = running,
          .service = load.service});
   }
@@ -175,31 +176,34 @@
   }
 }
 
-std::uint32_t fleet_node::WaitingFor(const daemon_id& coordinator,
-                                     const pool_id& pool,
-                                     std::uint32_t waiting) const {
+std::uint32_t fleet_node::WaitingToReport(const daemon_id& coordinator,
+                                          const pool_id& pool,
+                                          std::uint32_t waiting) const {
   std::uint64_t total = 0;
-  std::uint64_t there = 0;
-  bool local_suffices = false;
+  std::uint64_t coordinator_capacity = 0;
+  bool local_has_capacity = false;
   bool is_local = false;
-  for (const auto& [other, state] : reporting_) {
+  for (const auto& [other, state] : report_states_) {
     const pool_standing* standing =
         FindStanding(state.client.standings(), pool);
     const std::uint32_t capacity = standing == nullptr ? 0 : standing->capacity;
     total += capacity;
-    there += other == coordinator ? capacity : 0;
+    coordinator_capacity += other == coordinator ? capacity : 0;
     const auto local =
         members_.Coordinator(options_.self.data_centre, state.last_report);
     if (local && local->daemon == other) {
-      local_suffices = standing != nullptr && capacity > 0 && !standing->scarce;
+      local_has_capacity =
+          standing != nullptr && capacity > 0 && !standing->scarce;
       is_local = other == coordinator;
     }
   }
-  if (local_suffices || total == 0) {
+  if (local_has_capacity || total == 0) {
     return is_local || total == 0 ? waiting : 0;
   }
-  // Where the local data centre is short the demand is spread over all.
-  return static_cast<std::uint32_t>((waiting * there + total - 1) / total);
+  // If the local data centre has too few slots, demand is spread over all
+  // coordinators in proportion to their capacity.
+  return static_cast<std::uint32_t>(
+      (waiting * coordinator_capacity + total - 1) / total);
 }
 
 void fleet_node::Handle(link_id link,
@@ -243,7 +247,7 @@
   members_.RecordContact(grant.sender, now);
   const auto found = outbound_.find(link);
   if (found != outbound_.end()) {
-    found->second.last_heard = now;
+    found->second.last_contact = now;
   }
   MergeOrders(grant.orders, now, out);
   ApplyGrant(grant, now, out);
@@ -252,7 +256,7 @@
 void fleet_node::ApplyGrant(const allocation::grant_table& grant,
                             time_point now,
                             routing::effects& out) {
-  reporting& state = ReportingTo(grant.sender.daemon);
+  report_state& state = ReportStateFor(grant.sender.daemon);
   if (!state.client.Apply(grant)) {
     return;
   }
@@ -265,13 +269,13 @@
         leases.push_back(lease);
       }
     }
-    NoteLeaseChanges(data_centre, leases, grant.sender.daemon, out);
+    EmitLeaseChanges(data_centre, leases, grant.sender.daemon, out);
     router_.ApplyLeases(data_centre, leases, state.client.valid_until(), now,
                         out);
   }
 }
 
-void fleet_node::NoteLeaseChanges(
+void fleet_node::EmitLeaseChanges(
     const data_centre_id& data_centre,
     const std::vector<targets::target_lease>& leases,
     const daemon_id& lessor,
@@ -280,7 +284,7 @@
   for (const auto& held : router_.directory().Leases(data_centre)) {
     before[held.target] = held.limit;
   }
-  const auto note = [&](const target_id& target, std::uint32_t limit) {
+  const auto emit = [&](const target_id& target, std::uint32_t limit) {
     out.emplace_back(routing::lease_changed{.target = target,
                                             .previous = before[target],
                                             .limit = limit,
@@ -288,20 +292,20 @@
   };
   for (const targets::target_lease& lease : leases) {
     if (before[lease.target.target] != lease.limit) {
-      note(lease.target.target, lease.limit);
+      emit(lease.target.target, lease.limit);
     }
     before.erase(lease.target.target);
   }
   for (const auto& [target, limit] : before) {
     if (limit > 0) {
-      note(target, 0);
+      emit(target, 0);
     }
   }
 }
 
-void fleet_node::ApplyStandings(const reporting& state) {
-  // Only an answer to the last report can be compared with what has been
-  // charged since.
+void fleet_node::ApplyStandings(const report_state& state) {
+  // `state.service` belongs to the last report, so that service charged since
+  // then can be added only to a grant that answers that report.
   if (state.client.last_answered() != state.client.last_sequence()) {
     return;
   }
@@ -327,7 +331,7 @@
 
 void fleet_node::UpdateCapacity(time_point now) {
   std::map<pool_id, std::uint32_t> capacity;
-  for (const auto& [coordinator, state] : reporting_) {
+  for (const auto& [coordinator, state] : report_states_) {
     const bool in_force = now < state.client.valid_until();
     for (const pool_standing& standing : state.client.standings()) {
       capacity[standing.pool] += in_force ? standing.capacity : 0;
--- a/src/fleet/tests/fake_fleet.h
+++ b/src/fleet/tests/fake_fleet.h
@@ -1,5 +1,6 @@
-// Several daemons' decision code joined by an in-memory port, on virtual time,
-// with targets that take a fixed time for each request.
+// Test fixture: the state machines of several daemons, connected by an
+// in-memory port and run on virtual time, with targets that take a fixed time
+// per request.
 #pragma once
 
 #include <algorithm>
@@ -24,9 +25,9 @@
 
 struct fake_target_state {
   targets::announcement announced;
-  /// Requests in flight here, whoever sent them.
+  /// Requests in flight from all daemons.
   std::uint32_t running = 0;
-  std::uint32_t most_running = 0;
+  std::uint32_t max_running = 0;
   bool alive = true;
 };
 
@@ -58,7 +59,7 @@
       fleet.Transmit(index, link, message);
     }
     void Reopen(link_id link) override {
-      fleet.At(milliseconds(5), [this, link, life = self.life] {
+      fleet.Schedule(milliseconds(5), [this, link, life = self.life] {
         if (alive && self.life == life) {
           node->OnLinkUp(link, fleet.now);
         }
@@ -73,14 +74,14 @@
     std::unique_ptr<routing::request_router> router;
     std::unique_ptr<fleet_node> node;
     bool alive = true;
-    time_point woken_at = kNever;
+    time_point next_tick = kNever;
     std::map<std::string, double> served;
     std::uint64_t last_request = 0;
     std::map<request_seq, std::string> owners;
   };
 
-  /// One daemon for each entry of `data_centres`; control role for the first
-  /// of each data centre.
+  /// Creates a daemon for each entry of `names`, the data centres. The first
+  /// daemon of each data centre has the control role.
   fake_fleet(std::vector<std::string> names, std::uint32_t seed)
       : random(seed), data_centres(std::move(names)) {
     std::set<std::string> seen;
@@ -95,7 +96,7 @@
               .has_control_role = seen.insert(data_centres[i]).second}));
     }
     for (const auto& daemon : daemons) {
-      Open(*daemon);
+      OpenLinks(*daemon);
     }
   }
 
@@ -129,7 +130,7 @@
          .pool = pool_id("model"),
          .prompt_tokens = static_cast<std::uint32_t>(cost)},
         now, out);
-    Settle(daemon, out);
+    ProcessEffects(daemon, out);
   }
 
   void SetShare(const std::string& customer, double share) {
@@ -138,41 +139,44 @@
     }
   }
 
-  /// Cuts the daemons of one data centre, and its targets, off from the rest.
+  /// Disconnects or reconnects a data centre's daemons and targets.
   void Partition(const std::string& data_centre, bool cut) {
     if (cut) {
-      cut_off.insert(data_centre);
+      disconnected.insert(data_centre);
     } else {
-      cut_off.erase(data_centre);
+      disconnected.erase(data_centre);
     }
   }
 
-  /// Ends a daemon's process; its connections to targets end with it.
+  /// Ends a daemon's process, which closes its connections to targets.
   void Kill(std::size_t index) {
     daemon& daemon = *daemons[index];
     daemon.alive = false;
     for (auto& [id, target] : targets) {
-      const auto found = held.find({index, id});
-      target.running -= found == held.end() ? 0 : found->second;
+      const auto found = in_flight.find({index, id});
+      target.running -= found == in_flight.end() ? 0 : found->second;
     }
-    std::erase_if(
-        held, [&](const auto& entry) { return entry.first.first == index; });
+    std::erase_if(in_flight, [&](const auto& entry) {
+      return entry.first.first == index;
+    });
   }
 
   void Restart(std::size_t index) {
     daemon& daemon = *daemons[index];
     daemon.self.life = incarnation(daemon.self.life.value() + 1);
     daemon.alive = true;
-    daemon.woken_at = kNever;
+    daemon.next_tick = kNever;
     daemon.Start();
-    Open(daemon);
+    OpenLinks(daemon);
   }
 
-  void Order(std::size_t at, const std::string& data_centre, bool out) {
+  void OrderDataCentre(std::size_t at,
+                       const std::string& data_centre,
+                       bool out) {
     routing::effects effects;
     daemons[at]->node->OrderDataCentre(data_centre_id(data_centre), out, now,
                                        effects);
-    Settle(*daemons[at], effects);
+    ProcessEffects(*daemons[at], effects);
   }
 
   void Run(duration time) {
@@ -211,7 +215,7 @@
     return sum;
   }
 
-  void At(duration delay, std::function<void()> action) {
+  void Schedule(duration delay, std::function<void()> action) {
     events.push({now + delay, ++sequence, std::move(action)});
   }
 
@@ -222,8 +226,8 @@
   std::map<target_id, fake_target_state> targets;
   duration service_time = milliseconds(400);
   std::uint32_t loss_per_mille = 0;
-  std::set<std::string> cut_off;
-  /// Attempts started by data centre of the target, with their times.
+  std::set<std::string> disconnected;
+  /// Time of the last attempt started, by data centre of the target.
   std::map<std::string, time_point> last_start;
 
  private:
@@ -236,20 +240,20 @@
     }
   };
 
-  void Open(daemon& daemon) {
+  void OpenLinks(daemon& daemon) {
     for (std::size_t i = 1; i < daemons.size() || i < data_centres.size();
          ++i) {
-      At(milliseconds(1), [&daemon, i, this, life = daemon.self.life] {
+      Schedule(milliseconds(1), [&daemon, i, this, life = daemon.self.life] {
         if (daemon.alive && daemon.self.life == life) {
           daemon.node->OnLinkUp(link_id(i), now);
         }
       });
     }
-    Wake(daemon);
+    ScheduleTick(daemon);
   }
 
-  // Link i of a daemon goes to the i-th of the others.
-  std::size_t PeerOf(std::size_t from, std::uint64_t link) const {
+  // Link i of a daemon connects to the i-th of the other daemons.
+  std::size_t PeerIndex(std::size_t from, std::uint64_t link) const {
     const auto peer = static_cast<std::size_t>(link) - 1;
     return peer < from ? peer : peer + 1;
   }
@@ -258,30 +262,32 @@
     const std::string& first = data_centres[a];
     const std::string& second = data_centres[b];
     return first == second ||
-           (!cut_off.contains(first) && !cut_off.contains(second));
+           (!disconnected.contains(first) && !disconnected.contains(second));
   }
 
   void Transmit(std::size_t from, link_id link, const message& message) {
-    constexpr std::uint64_t kInbound = 1000;
-    const bool reply = link.value() >= kInbound;
+    constexpr std::uint64_t kInboundBase = 1000;
+    const bool reply = link.value() >= kInboundBase;
     const std::size_t to =
-        reply ? static_cast<std::size_t>(link.value() - kInbound) / 100
-              : PeerOf(from, link.value());
-    // The receiver sees its own outbound link, or an inbound one.
-    const link_id seen(reply ? (link.value() - kInbound) % 100
-                             : kInbound + from * 100 + link.value());
+        reply ? static_cast<std::size_t>(link.value() - kInboundBase) / 100
+              : PeerIndex(from, link.value());
+    // The link id at the receiver: its own outbound link for a reply, otherwise
+    // an inbound one.
+    const link_id seen(reply ? (link.value() - kInboundBase) % 100
+                             : kInboundBase + from * 100 + link.value());
     if (random.Below(1000) < loss_per_mille) {
       return;
     }
-    At(milliseconds(1 + random.Below(4)), [this, from, to, seen, message] {
-      daemon& receiver = *daemons[to];
-      if (!receiver.alive || !Connected(from, to)) {
-        return;
-      }
-      routing::effects out;
-      receiver.node->OnMessage(seen, message, now, out);
-      Settle(receiver, out);
-    });
+    Schedule(milliseconds(1 + random.Below(4)),
+             [this, from, to, seen, message] {
+               daemon& receiver = *daemons[to];
+               if (!receiver.alive || !Connected(from, to)) {
+                 return;
+               }
+               routing::effects out;
+               receiver.node->OnMessage(seen, message, now, out);
+               ProcessEffects(receiver, out);
+             });
   }
 
   void Announce(const target_id& id) {
@@ -292,67 +298,67 @@
                                .at_ms = static_cast<std::uint64_t>(
                                    now.time_since_epoch() / milliseconds(1))};
       for (const auto& daemon : daemons) {
-        // Entry hosts that the target's data centre can reach.
+        // Skips daemons that the target's data centre can't reach.
         const bool local = data_centre_id(data_centres[daemon->index]) ==
                            target.announced.data_centre;
         const bool cut =
-            cut_off.contains(target.announced.data_centre.value()) ||
-            cut_off.contains(data_centres[daemon->index]);
+            disconnected.contains(target.announced.data_centre.value()) ||
+            disconnected.contains(data_centres[daemon->index]);
         if (!daemon->alive || (cut && !local)) {
           continue;
         }
         routing::effects out;
         daemon->node->OnAnnouncement(target.announced, now, out);
-        Settle(*daemon, out);
+        ProcessEffects(*daemon, out);
       }
     }
-    At(seconds(2), [this, id] { Announce(id); });
+    Schedule(seconds(2), [this, id] { Announce(id); });
   }
 
-  void Settle(daemon& daemon, routing::effects& out) {
+  void ProcessEffects(daemon& daemon, routing::effects& out) {
     daemon.node->AfterRouterEvent(now, out);
     for (const routing::effect& effect : out) {
       if (const auto* start = std::get_if<routing::start_attempt>(&effect)) {
-        Begin(daemon, *start);
+        StartAttempt(daemon, *start);
       }
     }
     out.clear();
-    Wake(daemon);
+    ScheduleTick(daemon);
   }
 
-  void Wake(daemon& daemon) {
+  void ScheduleTick(daemon& daemon) {
     const time_point next = std::max(
         now,
         std::min(daemon.node->NextDeadline(), daemon.router->NextDeadline()));
-    if (next >= daemon.woken_at && daemon.woken_at > now) {
+    if (next >= daemon.next_tick && daemon.next_tick > now) {
       return;
     }
-    daemon.woken_at = next;
-    At(next - now, [this, &daemon, next, life = daemon.self.life] {
+    daemon.next_tick = next;
+    Schedule(next - now, [this, &daemon, next, life = daemon.self.life] {
       if (!daemon.alive || daemon.self.life != life ||
-          daemon.woken_at != next) {
+          daemon.next_tick != next) {
         return;
       }
-      daemon.woken_at = kNever;
+      daemon.next_tick = kNever;
       routing::effects out;
       daemon.router->OnTick(now, out);
       daemon.node->OnTick(now, out);
-      Settle(daemon, out);
+      ProcessEffects(daemon, out);
     });
   }
 
-  void Begin(daemon& daemon, const routing::start_attempt& start) {
+  void StartAttempt(daemon& daemon, const routing::start_attempt& start) {
     fake_target_state& target = targets.at(start.target);
     last_start[target.announced.data_centre.value()] = now;
     ++target.running;
-    ++held[{daemon.index, start.target}];
-    target.most_running = std::max(target.most_running, target.running);
-    At(service_time, [this, &daemon, start, life = daemon.self.life] {
+    ++in_flight[{daemon.index, start.target}];
+    target.max_running = std::max(target.max_running, target.running);
+    Schedule(service_time, [this, &daemon, start, life = daemon.self.life] {
       if (!daemon.alive || daemon.self.life != life) {
         return;
       }
       --targets.at(start.target).running;
-      --held[{daemon.index, start.target}];
+      --in_flight[{daemon.index, start.target}];
       constexpr std::uint32_t kTokens = 10;
       daemon.served[daemon.owners.at(start.request)] += kTokens;
       routing::effects out;
@@ -363,11 +369,11 @@
                                now, out);
       daemon.router->OnAttempt(start.request, start.attempt,
                                routing::attempt_completed{}, now, out);
-      Settle(daemon, out);
+      ProcessEffects(daemon, out);
     });
   }
 
-  std::map<std::pair<std::size_t, target_id>, std::uint32_t> held;
+  std::map<std::pair<std::size_t, target_id>, std::uint32_t> in_flight;
   std::priority_queue<event> events;
   std::uint64_t sequence = 0;
 };
--- a/src/fleet/tests/fleet_unittest.cc
+++ b/src/fleet/tests/fleet_unittest.cc
@@ -1,4 +1,5 @@
-// The fleet's invariants over loss, partitions, restarts and operators' orders.
+// Tests of the fleet's invariants under message loss, partitions, restarts and
+// operators' orders.
 #include <cmath>
 
 #include <rapidcheck/catch.h>
@@ -9,10 +10,10 @@
 namespace burdocklock::fleet {
 namespace {
 
-const std::vector<std::string> kFleet = {"a", "b", "c", "a"};
+const std::vector<std::string> kDataCentres = {"a", "b", "c", "a"};
 
 struct fleet_fixture {
-  fake_fleet fleet{kFleet, 5};
+  fake_fleet fleet{kDataCentres, 5};
 
   fleet_fixture() {
     fleet.AddTarget("t-a", "a", 8, 2);
@@ -21,12 +22,12 @@
     fleet.Run(seconds(5));
   }
   void FloodAll() {
-    for (std::size_t i = 0; i < kFleet.size(); ++i) {
+    for (std::size_t i = 0; i < kDataCentres.size(); ++i) {
       Flood(i, "large", 2000);
     }
     fleet.Run(seconds(10));
   }
-  // Share of slots in use over two seconds, at one target or all.
+  // Fraction of slots in use over two seconds, at one target or at all.
   double Utilisation(const std::string& target = "") {
     double busy = 0;
     constexpr int kSamples = 200;
@@ -45,7 +46,7 @@
 };
 
 TEST_CASE_METHOD(fleet_fixture,
-                 "fleet: all work at one router: every slot is used") {
+                 "fleet: all requests at one router: every slot is used") {
   Flood(3, "large", 3000);
   fleet.Run(seconds(15));
   CHECK(Utilisation() >= 0.97);
@@ -75,34 +76,35 @@
   CHECK(largest_gap <= bound);
 }
 
-TEST_CASE_METHOD(fleet_fixture,
-                 "fleet: data centre out: no new work there within 3 s, cold "
-                 "on return") {
+TEST_CASE_METHOD(
+    fleet_fixture,
+    "fleet: data centre out: no new requests there after 3 s, cold "
+    "on return") {
   FloodAll();
-  const auto given_at = GENERATE(1U, 2U);
-  const bool cut_off = GENERATE(false, true);
-  if (cut_off && given_at != 1) {
-    return;  // Outside, nobody can reach the targets of a cut-off centre.
+  const auto daemon_index = GENERATE(1U, 2U);
+  const bool disconnected = GENERATE(false, true);
+  if (disconnected && daemon_index != 1) {
+    return;  // Only daemon 1, which is in b, can reach its targets then.
   }
-  fleet.Partition("b", cut_off);
-  const time_point ordered = fleet.now;
-  fleet.Order(given_at, "b", true);
+  fleet.Partition("b", disconnected);
+  const time_point ordered_at = fleet.now;
+  fleet.OrderDataCentre(daemon_index, "b", true);
   fleet.Run(seconds(10));
-  CHECK(fleet.last_start["b"] <= ordered + seconds(3));
+  CHECK(fleet.last_start["b"] <= ordered_at + seconds(3));
   CHECK(fleet.targets[target_id("t-b")].running == 0);
 
   fleet.Partition("b", false);
   fleet.Run(seconds(3));
-  fleet.targets[target_id("t-b")].most_running = 0;
-  fleet.Order(given_at, "b", false);
+  fleet.targets[target_id("t-b")].max_running = 0;
+  fleet.OrderDataCentre(daemon_index, "b", false);
   fleet.Run(milliseconds(300));
-  CHECK(fleet.targets[target_id("t-b")].most_running <= 2);
+  CHECK(fleet.targets[target_id("t-b")].max_running <= 2);
   fleet.Run(seconds(10));
   CHECK(Utilisation("t-b") >= 0.97);
 }
 
 TEST_CASE_METHOD(fleet_fixture,
-                 "fleet: data centre cut off: both sides go on serving") {
+                 "fleet: data centre disconnected: both sides keep serving") {
   FloodAll();
   fleet.Partition("b", true);
   fleet.Run(seconds(12));
@@ -112,9 +114,10 @@
   CHECK(Utilisation() >= 0.97);
 }
 
-TEST_CASE_METHOD(fleet_fixture,
-                 "fleet: coordinator dies: another takes over, within what "
-                 "targets bear") {
+TEST_CASE_METHOD(
+    fleet_fixture,
+    "fleet: coordinator dies: another takes over, no target exceeds "
+    "its slots") {
   FloodAll();
   fleet.Kill(0);
   fleet.Run(seconds(12));
@@ -124,13 +127,14 @@
   fleet.Run(seconds(12));
   CHECK(Utilisation() >= 0.97);
   for (const auto& [id, target] : fleet.targets) {
-    CHECK(target.most_running <= target.announced.slots);
+    CHECK(target.max_running <= target.announced.slots);
   }
 }
 
-TEST_CASE_METHOD(fleet_fixture,
-                 "fleet: every router of a data centre dies: its targets are "
-                 "adopted") {
+TEST_CASE_METHOD(
+    fleet_fixture,
+    "fleet: every router of a data centre dies: another data centre "
+    "uses its targets") {
   FloodAll();
   fleet.Kill(1);
   fleet.Run(seconds(20));
@@ -138,10 +142,10 @@
 }
 
 TEST_CASE(
-    "fleet: loss, partitions, kills and orders: targets never get more "
-    "than they bear, and all recovers") {
-  rc::prop("most running <= slots", [] {
-    fake_fleet fleet(kFleet, *rc::gen::inRange(1U, 1'000'000U));
+    "fleet: loss, partitions, kills and orders: no target exceeds its "
+    "slots, and all requests complete") {
+  rc::prop("max_running <= slots", [] {
+    fake_fleet fleet(kDataCentres, *rc::gen::inRange(1U, 1'000'000U));
     fleet.AddTarget("t-a", "a", 8, 2);
     fleet.AddTarget("t-b", "b", 6, 1);
     fleet.AddTarget("t-c", "c", 4, 2);
@@ -155,7 +159,8 @@
           fleet.Request(index, "c" + std::to_string(choice), 10);
         }
       } else if (choice == 3) {
-        fleet.Partition(kFleet[index], !fleet.cut_off.contains(kFleet[index]));
+        fleet.Partition(kDataCentres[index],
+                        !fleet.disconnected.contains(kDataCentres[index]));
       } else if (choice == 4) {
         if (fleet.daemons[index]->alive) {
           fleet.Kill(index);
@@ -163,23 +168,23 @@
           fleet.Restart(index);
         }
       } else if (choice == 5 && fleet.daemons[index]->alive) {
-        fleet.Order(index, kFleet[index], which % 2 == 0);
+        fleet.OrderDataCentre(index, kDataCentres[index], which % 2 == 0);
       }
       fleet.Run(milliseconds(700));
       for (const auto& [id, target] : fleet.targets) {
-        RC_ASSERT(target.most_running <= target.announced.slots);
+        RC_ASSERT(target.max_running <= target.announced.slots);
       }
     }
     fleet.loss_per_mille = 0;
-    for (std::size_t i = 0; i < kFleet.size(); ++i) {
-      fleet.Partition(kFleet[i], false);
+    for (std::size_t i = 0; i < kDataCentres.size(); ++i) {
+      fleet.Partition(kDataCentres[i], false);
       if (!fleet.daemons[i]->alive) {
         fleet.Restart(i);
       }
     }
     fleet.Run(seconds(10));
     for (const char* data_centre : {"a", "b", "c"}) {
-      fleet.Order(0, data_centre, false);
+      fleet.OrderDataCentre(0, data_centre, false);
     }
     fleet.Run(seconds(60));
     RC_ASSERT(fleet.Waiting() == 0U);
--- a/src/fleet/types/message.h
+++ b/src/fleet/types/message.h
@@ -1,4 +1,4 @@
-// Messages between daemons.
+// Messages exchanged between daemons.
 #pragma once
 
 #include <variant>
@@ -12,18 +12,19 @@
 
 namespace burdocklock::fleet {
 
-/// Heartbeat: sent on every outbound link once a second, and answered.
+/// Heartbeat: sent on every outbound link once a second; the receiver replies
+/// with its own.
 struct hello {
   membership::member sender;
   std::vector<membership::data_centre_order> orders;
-  /// The sender shuts down.
+  /// The sender is shutting down.
   bool leaving = false;
 };
 
 using message =
     std::variant<hello, allocation::router_report, allocation::grant_table>;
 
-/// A connection between two daemons, as this process numbers it.
+/// A connection to another daemon, numbered by this process.
 using link_id = strong_type<struct link_id_tag, std::uint64_t>;
 
 }  // namespace burdocklock::fleet
