--- a/src/fleet/fleet_node.h
+++ b/src/fleet/fleet_node.h
@@ -113,7 +113,7 @@
   using load_list = std::vector<routing::request_router::customer_load>;
 
   void Handle(link_id link,
-              const hello& hello,
+              const heartbeat& heartbeat,
               time_point now,
               routing::effects& out);
   void Handle(link_id link,
--- a/src/fleet/internal/fleet_node.cc
+++ b/src/fleet/internal/fleet_node.cc
@@ -37,31 +37,31 @@
 }
 
 void fleet_node::Handle(link_id link,
-                        const hello& hello,
+                        const heartbeat& heartbeat,
                         time_point now,
                         routing::effects& out) {
-  if (hello.leaving) {
+  if (heartbeat.leaving) {
     // The member keeps sending reports until its last request has ended.
-    members_.MarkLeft(hello.sender.daemon);
+    members_.MarkLeft(heartbeat.sender.daemon);
   } else {
-    members_.RecordContact(hello.sender, now);
+    members_.RecordContact(heartbeat.sender, now);
   }
-  MergeOrders(hello.orders, now, out);
+  MergeOrders(heartbeat.orders, now, out);
   const auto found = outbound_.find(link);
   if (found == outbound_.end()) {
     // Replies to a heartbeat from a peer on the inbound link it arrived on.
     SendHeartbeat(link, leaving_);
     return;
   }
-  found->second.peer = hello.sender;
+  found->second.peer = heartbeat.sender;
   found->second.last_contact = now;
   UpdateRole(now);
 }
 
 void fleet_node::SendHeartbeat(link_id link, bool leaving) {
-  port_.Send(link, hello{.sender = options_.self,
-                         .orders = orders_.All(),
-                         .leaving = leaving});
+  port_.Send(link, heartbeat{.sender = options_.self,
+                             .orders = orders_.All(),
+                             .leaving = leaving});
 }
 
 void fleet_node::MergeOrders(
--- a/src/fleet/types/message.h
+++ b/src/fleet/types/message.h
@@ -14,7 +14,7 @@
 
 /// Heartbeat: sent on every outbound link once a second; the receiver replies
 /// with its own.
-struct hello {
+struct heartbeat {
   membership::member sender;
   std::vector<membership::data_centre_order> orders;
   /// The sender is shutting down.
@@ -22,7 +22,7 @@
 };
 
 using message =
-    std::variant<hello, allocation::router_report, allocation::grant_table>;
+    std::variant<heartbeat, allocation::router_report, allocation::grant_table>;
 
 /// A connection to another daemon, numbered by this process.
 using link_id = strong_type<struct link_id_tag, std::uint64_t>;
--- a/src/peer/internal/message_codec.cc
+++ b/src/peer/internal/message_codec.cc
@@ -158,10 +158,10 @@
 
 namespace fleet {
 
-void to_json(json& j, const hello& h) {
+void to_json(json& j, const heartbeat& h) {
   j = {{"f", h.sender}, {"o", h.orders}, {"l", h.leaving}};
 }
-void from_json(const json& j, hello& h) {
+void from_json(const json& j, heartbeat& h) {
   j.at("f").get_to(h.sender);
   j.at("o").get_to(h.orders);
   j.at("l").get_to(h.leaving);
@@ -187,7 +187,7 @@
 fleet::message DecodeBody(std::size_t kind, const json& body) {
   switch (kind) {
     case 0:
-      return body.get<fleet::hello>();
+      return body.get<fleet::heartbeat>();
     case 1:
       return body.get<allocation::router_report>();
     case 2:
--- a/src/peer/tests/peer_unittest.cc
+++ b/src/peer/tests/peer_unittest.cc
@@ -55,7 +55,7 @@
   CHECK(copy.announcements[0].address == Target().address);
 }
 
-TEST_CASE("codec: grant and hello: survive a round trip") {
+TEST_CASE("codec: grant and heartbeat: survive a round trip") {
   const allocation::grant_table grant{
       .sender = Member(),
       .version = 2,
@@ -77,9 +77,9 @@
   CHECK(copy.leases[0].limit == 3);
   CHECK(copy.standings[0].scarce);
   CHECK(copy.orders == grant.orders);
-  const auto greeting = Decode(Encode(fleet::hello{.sender = Member()}));
+  const auto greeting = Decode(Encode(fleet::heartbeat{.sender = Member()}));
   REQUIRE(greeting.has_value());
-  CHECK(std::get<fleet::hello>(greeting.value()).sender == Member());
+  CHECK(std::get<fleet::heartbeat>(greeting.value()).sender == Member());
 }
 
 TEST_CASE("codec: any bytes: an error, never fatal") {
