--- a/src/allocation/internal/slot_client.cc
+++ b/src/allocation/internal/slot_client.cc
@@ -38,7 +38,7 @@
   applied_grant_ = grant.version;
   applied_from_ = grant.sender.life;
   leases_ = grant.leases;
-  standings_ = grant.standings;
+  pool_statuses_ = grant.pool_statuses;
   valid_until_ = sent->second + lease_;
   last_answered_ = grant.answers;
   // Keeps the entry of the answered report, as later grants may answer it
--- a/src/allocation/internal/slot_coordinator.cc
+++ b/src/allocation/internal/slot_coordinator.cc
@@ -236,19 +236,19 @@
                             .epoch = directory_.RampEpoch(key.first)});
   }
   for (const auto& [pool, pool_state] : pools_) {
-    pool_standing standing{.pool = pool,
-                           .capacity = pool_state.capacity,
-                           .scarce = pool_state.scarce};
+    pool_status status{.pool = pool,
+                       .capacity = pool_state.capacity,
+                       .scarce = pool_state.scarce};
     const auto demand = state.demand.find(pool);
     if (demand != state.demand.end()) {
       for (const customer_demand& customer : demand->second) {
-        standing.customers.push_back(
+        status.customers.push_back(
             {.customer = customer.customer,
              .virtual_service =
                  pool_state.ledger.VirtualService(customer.customer)});
       }
     }
-    grant.standings.push_back(std::move(standing));
+    grant.pool_statuses.push_back(std::move(status));
   }
   return grant;
 }
--- a/src/allocation/slot_client.h
+++ b/src/allocation/slot_client.h
@@ -38,8 +38,8 @@
     return leases_;
   }
   [[nodiscard]] time_point valid_until() const { return valid_until_; }
-  [[nodiscard]] const std::vector<pool_standing>& standings() const {
-    return standings_;
+  [[nodiscard]] const std::vector<pool_status>& pool_statuses() const {
+    return pool_statuses_;
   }
   /// Sequence number of the last report.
   [[nodiscard]] std::uint64_t last_sequence() const { return sequence_; }
@@ -56,7 +56,7 @@
   std::uint64_t applied_grant_ = 0;
   incarnation applied_from_;
   std::vector<targets::target_lease> leases_;
-  std::vector<pool_standing> standings_;
+  std::vector<pool_status> pool_statuses_;
   time_point valid_until_{};
 };
 
--- a/src/allocation/types/grant.h
+++ b/src/allocation/types/grant.h
@@ -11,21 +11,21 @@
 
 namespace burdocklock::allocation {
 
-struct customer_standing {
+struct customer_status {
   customer_id customer;
   /// Service received through all routers divided by the share, raised when
   /// the customer becomes backlogged (see service_ledger).
   double virtual_service = 0;
 };
 
-struct pool_standing {
+struct pool_status {
   pool_id pool;
   /// Total slots of the data centre's usable targets.
   std::uint32_t capacity = 0;
   /// Demand exceeds capacity; routers should return idle slots.
   bool scarce = false;
   /// The customers that the router has reported.
-  std::vector<customer_standing> customers;
+  std::vector<customer_status> customers;
 };
 
 /// Complete set of a router's leases; a lease that is not listed has ended.
@@ -37,7 +37,7 @@
   /// Data centres whose targets the sender coordinates.
   std::vector<data_centre_id> served;
   std::vector<targets::target_lease> leases;
-  std::vector<pool_standing> standings;
+  std::vector<pool_status> pool_statuses;
   std::vector<membership::data_centre_order> orders;
 };
 
--- a/src/fleet/fleet_node.h
+++ b/src/fleet/fleet_node.h
@@ -173,7 +173,7 @@
                         const std::vector<targets::target_lease>& leases,
                         const daemon_id& lessor,
                         routing::effects& out) const;
-  void ApplyStandings(const report_state& state);
+  void ApplyPoolStatuses(const report_state& state);
   void UpdateCapacity(time_point now);
   void SendGrants(time_point now, routing::effects& out);
 
--- a/src/fleet/internal/fleet_reports.cc
+++ b/src/fleet/internal/fleet_reports.cc
@@ -6,16 +6,16 @@
 
 namespace burdocklock::fleet {
 
-using allocation::pool_standing;
+using allocation::pool_status;
 
 namespace {
 
-const pool_standing* FindStanding(const std::vector<pool_standing>& standings,
+const pool_status* FindPoolStatus(const std::vector<pool_status>& pool_statuses,
                                   const pool_id& pool) {
   const auto found = std::find_if(
-      standings.begin(), standings.end(),
-      [&](const pool_standing& standing) { return standing.pool == pool; });
-  return found == standings.end() ? nullptr : &*found;
+      pool_statuses.begin(), pool_statuses.end(),
+      [&](const pool_status& status) { return status.pool == pool; });
+  return found == pool_statuses.end() ? nullptr : &*found;
 }
 
 }  // namespace
@@ -41,9 +41,9 @@
   }
   return std::any_of(
       report_states_.begin(), report_states_.end(), [](const auto& entry) {
-        const auto& standings = entry.second.client.standings();
-        return std::any_of(standings.begin(), standings.end(),
-                           [](const pool_standing& s) { return s.scarce; });
+        const auto& pool_statuses = entry.second.client.pool_statuses();
+        return std::any_of(pool_statuses.begin(), pool_statuses.end(),
+                           [](const pool_status& s) { return s.scarce; });
       });
 }
 
@@ -62,11 +62,11 @@
     }
   }
   for (auto& [coordinator, state] : report_states_) {
-    for (const pool_standing& standing : state.client.standings()) {
+    for (const pool_status& status : state.client.pool_statuses()) {
       const bool needed_elsewhere =
-          standing.scarce && !waiting_pools.contains(standing.pool);
-      if (needed_elsewhere && directory.FreeLeased(standing.pool, now) > 0 &&
-          directory.ReturnIdle(standing.pool)) {
+          status.scarce && !waiting_pools.contains(status.pool);
+      if (needed_elsewhere && directory.FreeLeased(status.pool, now) > 0 &&
+          directory.ReturnIdle(status.pool)) {
         state.urgent = true;
       }
     }
@@ -184,16 +184,15 @@
   bool local_has_capacity = false;
   bool is_local = false;
   for (const auto& [other, state] : report_states_) {
-    const pool_standing* standing =
-        FindStanding(state.client.standings(), pool);
-    const std::uint32_t capacity = standing == nullptr ? 0 : standing->capacity;
+    const pool_status* status =
+        FindPoolStatus(state.client.pool_statuses(), pool);
+    const std::uint32_t capacity = status == nullptr ? 0 : status->capacity;
     total += capacity;
     coordinator_capacity += other == coordinator ? capacity : 0;
     const auto local =
         members_.Coordinator(options_.self.data_centre, state.last_report);
     if (local && local->daemon == other) {
-      local_has_capacity =
-          standing != nullptr && capacity > 0 && !standing->scarce;
+      local_has_capacity = status != nullptr && capacity > 0 && !status->scarce;
       is_local = other == coordinator;
     }
   }
@@ -260,7 +259,7 @@
   if (!state.client.Apply(grant)) {
     return;
   }
-  ApplyStandings(state);
+  ApplyPoolStatuses(state);
   UpdateCapacity(now);
   for (const data_centre_id& data_centre : grant.served) {
     std::vector<targets::target_lease> leases;
@@ -303,7 +302,7 @@
   }
 }
 
-void fleet_node::ApplyStandings(const report_state& state) {
+void fleet_node::ApplyPoolStatuses(const report_state& state) {
   // `state.service` belongs to the last report, so that service charged since
   // then can be added only to a grant that answers that report.
   if (state.client.last_answered() != state.client.last_sequence()) {
@@ -311,12 +310,12 @@
   }
   const load_list loads = router_.Load();
   for (const auto& load : loads) {
-    const pool_standing* standing =
-        FindStanding(state.client.standings(), load.pool);
-    if (standing == nullptr) {
+    const pool_status* status =
+        FindPoolStatus(state.client.pool_statuses(), load.pool);
+    if (status == nullptr) {
       continue;
     }
-    for (const allocation::customer_standing& customer : standing->customers) {
+    for (const allocation::customer_status& customer : status->customers) {
       if (customer.customer != load.customer) {
         continue;
       }
@@ -333,8 +332,8 @@
   std::map<pool_id, std::uint32_t> capacity;
   for (const auto& [coordinator, state] : report_states_) {
     const bool in_force = now < state.client.valid_until();
-    for (const pool_standing& standing : state.client.standings()) {
-      capacity[standing.pool] += in_force ? standing.capacity : 0;
+    for (const pool_status& status : state.client.pool_statuses()) {
+      capacity[status.pool] += in_force ? status.capacity : 0;
     }
   }
   for (const auto& [pool, slots] : capacity) {
--- a/src/peer/internal/message_codec.cc
+++ b/src/peer/internal/message_codec.cc
@@ -103,18 +103,18 @@
   j.at(4).get_to(h.ramp_limit);
 }
 
-void to_json(json& j, const customer_standing& s) {
+void to_json(json& j, const customer_status& s) {
   j = json::array({s.customer, s.virtual_service});
 }
-void from_json(const json& j, customer_standing& s) {
+void from_json(const json& j, customer_status& s) {
   j.at(0).get_to(s.customer);
   j.at(1).get_to(s.virtual_service);
 }
 
-void to_json(json& j, const pool_standing& s) {
+void to_json(json& j, const pool_status& s) {
   j = json::array({s.pool, s.capacity, s.scarce, s.customers});
 }
-void from_json(const json& j, pool_standing& s) {
+void from_json(const json& j, pool_status& s) {
   j.at(0).get_to(s.pool);
   j.at(1).get_to(s.capacity);
   j.at(2).get_to(s.scarce);
@@ -141,8 +141,9 @@
 }
 
 void to_json(json& j, const grant_table& g) {
-  j = {{"f", g.sender}, {"v", g.version},   {"n", g.answers}, {"s", g.served},
-       {"l", g.leases}, {"p", g.standings}, {"o", g.orders}};
+  j = {{"f", g.sender}, {"v", g.version}, {"n", g.answers},
+       {"s", g.served}, {"l", g.leases},  {"p", g.pool_statuses},
+       {"o", g.orders}};
 }
 void from_json(const json& j, grant_table& g) {
   j.at("f").get_to(g.sender);
@@ -150,7 +151,7 @@
   j.at("n").get_to(g.answers);
   j.at("s").get_to(g.served);
   j.at("l").get_to(g.leases);
-  j.at("p").get_to(g.standings);
+  j.at("p").get_to(g.pool_statuses);
   j.at("o").get_to(g.orders);
 }
 
--- a/src/peer/tests/peer_unittest.cc
+++ b/src/peer/tests/peer_unittest.cc
@@ -62,11 +62,11 @@
       .answers = 4,
       .served = {data_centre_id("cheras")},
       .leases = {{.target = Target(), .limit = 3, .ramp_limit = 4}},
-      .standings = {{.pool = pool_id("lamp-llm"),
-                     .capacity = 8,
-                     .scarce = true,
-                     .customers = {{.customer = customer_id("depot"),
-                                    .virtual_service = 1.5}}}},
+      .pool_statuses = {{.pool = pool_id("lamp-llm"),
+                         .capacity = 8,
+                         .scarce = true,
+                         .customers = {{.customer = customer_id("depot"),
+                                        .virtual_service = 1.5}}}},
       .orders = {{.data_centre = data_centre_id("cheras"),
                   .out = true,
                   .version = 2,
@@ -75,7 +75,7 @@
   REQUIRE(decoded.has_value());
   const auto& copy = std::get<allocation::grant_table>(decoded.value());
   CHECK(copy.leases[0].limit == 3);
-  CHECK(copy.standings[0].scarce);
+  CHECK(copy.pool_statuses[0].scarce);
   CHECK(copy.orders == grant.orders);
   const auto greeting = Decode(Encode(fleet::heartbeat{.sender = Member()}));
   REQUIRE(greeting.has_value());
