--- a/src/control/control_node.h
+++ b/src/control/control_node.h
@@ -34,15 +34,15 @@
   quorum::raft_options raft;
   link_options links;
   /// Renewed targets are passed on this often; changes at once.
-  duration target_batch = std::chrono::milliseconds(500);
+  duration target_batch_interval = std::chrono::milliseconds(500);
   /// A command that is not committed in this time has no clear outcome.
   duration command_timeout = std::chrono::seconds(2);
   /// Least time between two messages about the others' load to a router; more
   /// if there are many routers.
-  duration load_spacing = std::chrono::milliseconds(30);
-  std::size_t routers_per_load_spacing = 8;
+  duration min_load_interval = std::chrono::milliseconds(30);
+  std::size_t routers_per_load_interval = 8;
   /// A follower leaves it to the leader for this long to tell routers.
-  duration follower_delay = std::chrono::milliseconds(250);
+  duration follower_update_delay = std::chrono::milliseconds(250);
   /// The log is cut short after so many entries, or so many bytes of commands.
   std::size_t compact_entries = 64;
   std::size_t compact_bytes = 4 * 1024 * 1024;
@@ -91,59 +91,59 @@
 
  private:
   struct inbound_peer {
-    introduction described;
-    time_point last_heard;
+    introduction last_introduction;
+    time_point last_seen;
     bool is_router = false;
     /// It reports its load here.
     bool reports_load = false;
     /// Contents of this revision are on their way.
-    state_revision sent;
+    state_revision sent_revision;
     /// Contents may be sent from this time on.
-    time_point contents_at{};
+    time_point contents_due{};
   };
-  struct waiting_command {
+  struct pending_command {
     quorum::term_number term;
     time_point deadline;
     command_done done;
   };
-  struct waiting_read {
+  struct pending_read {
     time_point deadline;
     command_done done;
   };
 
   void Handle(link_id link, const introduction& m);
   void Handle(link_id link, const state_update& m);
-  void Handle(link_id link, const target_news& m);
+  void Handle(link_id link, const target_update& m);
   void Handle(link_id link, const quorum_envelope& m);
   void Handle(link_id link, const load_report& m);
-  void Handle(link_id link, const load_view& m);
+  void Handle(link_id link, const load_summary& m);
 
   // Commands and reads (control_commands.cc).
   void Propose(const operator_command& command, command_done done);
-  [[nodiscard]] command_outcome NotLeader() const;
+  [[nodiscard]] command_outcome NotLeaderOutcome() const;
   void CompleteCommand(const quorum::log_entry& entry);
   void CompleteReads(const std::vector<quorum::read_result>& reads);
   void FailCommands();
   void ExpireCommands();
 
-  void Drain();
+  void ProcessRaftOutput();
   void ApplyItem(const quorum::applied_item& item);
-  void CompactWhenLong();
-  void NoteChanges();
+  void CompactLogIfLong();
+  void ReportChanges();
   void SendQuorum(const quorum::outgoing_message& message);
-  void AskToJoin();
-  void SetWantedLinks();
-  [[nodiscard]] introduction Introduction() const;
+  void SendJoinRequests();
+  void UpdateLinks();
+  [[nodiscard]] introduction MakeIntroduction() const;
 
   // News for routers and other control hosts (control_news.cc).
-  void ExpectState();
-  void TellRouter(link_id link, inbound_peer& router);
-  void TellRoutersDue();
-  void TellTargets(const std::vector<targets::announcement>& changed);
+  void ScheduleStateUpdates();
+  void SendStateUpdate(link_id link, inbound_peer& router);
+  void SendDueStateUpdates();
+  void SendTargetsToRouters(const std::vector<targets::announcement>& changed);
   void SendTargetBatch();
-  [[nodiscard]] std::vector<heard_target> AllTargets() const;
+  [[nodiscard]] std::vector<aged_announcement> RecentTargets() const;
   void SendLoad();
-  void ForgetSilentPeers();
+  void RemoveSilentPeers();
 
   control_options options_;
   i_link_port& link_port_;
@@ -153,30 +153,30 @@
   operator_state state_;
   target_registry registry_;
   load_collector load_;
-  time_point load_at_ = kNever;
-  time_point load_sent_{};
+  time_point next_load_send_ = kNever;
+  time_point last_load_send_{};
   time_point now_;
 
   std::map<link_id, inbound_peer> inbound_;
   /// When each router was last heard.
   std::map<daemon_id, time_point> routers_;
-  std::map<quorum::log_index, waiting_command> commands_;
-  std::map<quorum::read_id, waiting_read> reads_;
+  std::map<quorum::log_index, pending_command> pending_commands_;
+  std::map<quorum::read_id, pending_read> pending_reads_;
   quorum::read_id last_read_;
   /// Renewed since the last batch: true if heard here.
-  std::map<target_id, bool> renewed_;
+  std::map<target_id, bool> renewed_targets_;
 
   std::size_t entries_since_compaction_ = 0;
   std::size_t bytes_since_compaction_ = 0;
-  time_point heartbeat_at_;
-  time_point targets_at_;
-  time_point join_at_;
-  time_point contents_at_ = kNever;
+  time_point next_heartbeat_;
+  time_point next_target_batch_;
+  time_point next_join_request_;
+  time_point next_state_send_ = kNever;
   // What was last made known through the port.
-  quorum::raft_role known_role_ = quorum::raft_role::kFollower;
-  quorum::member_id known_leader_;
-  quorum::membership known_members_;
-  state_revision known_revision_;
+  quorum::raft_role reported_role_ = quorum::raft_role::kFollower;
+  quorum::member_id reported_leader_;
+  quorum::membership reported_members_;
+  state_revision reported_revision_;
 };
 
 }  // namespace burdocklock::control
--- a/src/control/i_router_view.h
+++ b/src/control/i_router_view.h
@@ -22,7 +22,7 @@
                        const state_contents& contents,
                        bool current) = 0;
   virtual void OnTarget(const targets::announcement& announcement,
-                        time_point heard) = 0;
+                        time_point last_seen) = 0;
   /// The routers that share the targets.
   virtual void OnRouters(const std::vector<daemon_id>& routers) = 0;
   /// The load of all other routers, as of their last reports.
--- a/src/control/internal/control_commands.cc
+++ b/src/control/internal/control_commands.cc
@@ -6,7 +6,7 @@
 
 namespace burdocklock::control {
 
-command_outcome control_node::NotLeader() const {
+command_outcome control_node::NotLeaderOutcome() const {
   command_outcome outcome{.status = command_status::kNotLeader};
   const quorum::member* leader = raft_.FindMember(raft_.leader());
   if (leader != nullptr && leader->id != raft_.self()) {
@@ -18,13 +18,14 @@
 void control_node::Propose(const operator_command& command, command_done done) {
   const auto accepted = raft_.Propose(EncodeCommand(command), now_);
   if (!accepted) {
-    done(NotLeader());
+    done(NotLeaderOutcome());
     return;
   }
-  commands_[accepted->index] = {.term = accepted->term,
-                                .deadline = now_ + options_.command_timeout,
-                                .done = std::move(done)};
-  Drain();
+  pending_commands_[accepted->index] = {
+      .term = accepted->term,
+      .deadline = now_ + options_.command_timeout,
+      .done = std::move(done)};
+  ProcessRaftOutput();
 }
 
 void control_node::ReplaceConfiguration(std::uint64_t version,
@@ -56,22 +57,22 @@
 void control_node::ReadConfiguration(command_done done) {
   last_read_ = quorum::read_id(last_read_.value() + 1);
   // Before the request, as the answer may come at once.
-  reads_[last_read_] = {.deadline = now_ + options_.command_timeout,
-                        .done = std::move(done)};
+  pending_reads_[last_read_] = {.deadline = now_ + options_.command_timeout,
+                                .done = std::move(done)};
   if (!raft_.RequestRead(last_read_, now_)) {
-    const auto node = reads_.extract(last_read_);
-    node.mapped().done(NotLeader());
+    const auto node = pending_reads_.extract(last_read_);
+    node.mapped().done(NotLeaderOutcome());
     return;
   }
-  Drain();
+  ProcessRaftOutput();
 }
 
 void control_node::CompleteCommand(const quorum::log_entry& entry) {
-  const auto found = commands_.find(entry.index);
-  if (found == commands_.end()) {
+  const auto found = pending_commands_.find(entry.index);
+  if (found == pending_commands_.end()) {
     return;
   }
-  const auto node = commands_.extract(found);
+  const auto node = pending_commands_.extract(found);
   const bool own = node.mapped().term == entry.term;
   node.mapped().done(
       {.status = own ? command_status::kDone : command_status::kUnknown});
@@ -80,11 +81,11 @@
 void control_node::CompleteReads(
     const std::vector<quorum::read_result>& reads) {
   for (const quorum::read_result& read : reads) {
-    const auto found = reads_.find(read.id);
-    if (found == reads_.end()) {
+    const auto found = pending_reads_.find(read.id);
+    if (found == pending_reads_.end()) {
       continue;
     }
-    const auto node = reads_.extract(found);
+    const auto node = pending_reads_.extract(found);
     if (read.sure) {
       node.mapped().done({.status = command_status::kDone,
                           .document = state_.contents().document});
@@ -95,21 +96,21 @@
 }
 
 void control_node::FailCommands() {
-  for (auto& [index, command] : std::exchange(commands_, {})) {
+  for (auto& [index, command] : std::exchange(pending_commands_, {})) {
     command.done({.status = command_status::kUnknown});
   }
 }
 
 void control_node::ExpireCommands() {
   std::vector<command_done> expired;
-  std::erase_if(commands_, [&](auto& command) {
+  std::erase_if(pending_commands_, [&](auto& command) {
     if (command.second.deadline > now_) {
       return false;
     }
     expired.push_back(std::move(command.second.done));
     return true;
   });
-  std::erase_if(reads_, [&](auto& read) {
+  std::erase_if(pending_reads_, [&](auto& read) {
     if (read.second.deadline > now_) {
       return false;
     }
--- a/src/control/internal/control_node.cc
+++ b/src/control/internal/control_node.cc
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kJoinPeriod{400};
+constexpr std::chrono::milliseconds kJoinRequestInterval{400};
 // A router silent for this time no longer counts.
-constexpr std::chrono::seconds kRouterSilence{8};
+constexpr std::chrono::seconds kPeerTimeout{8};
 
 }  // namespace
 
@@ -32,11 +32,11 @@
       raft_(options_.raft, std::move(recovered), random, now),
       links_(links, options_.links),
       now_(now),
-      heartbeat_at_(now),
-      targets_at_(now + options_.target_batch),
-      join_at_(now) {
-  SetWantedLinks();
-  Drain();
+      next_heartbeat_(now),
+      next_target_batch_(now + options_.target_batch_interval),
+      next_join_request_(now) {
+  UpdateLinks();
+  ProcessRaftOutput();
 }
 
 void control_node::OnTick(time_point now) {
@@ -44,47 +44,47 @@
   if (raft_.NextDeadline() <= now) {
     raft_.OnTick(now);
   }
-  if (now >= heartbeat_at_) {
-    heartbeat_at_ = now + options_.links.heartbeat;
-    links_.Check(now);
-    for (const link_id link : links_.Up()) {
-      link_port_.Send(link, Introduction());
+  if (now >= next_heartbeat_) {
+    next_heartbeat_ = now + options_.links.heartbeat_interval;
+    links_.ReopenIdleLinks(now);
+    for (const link_id link : links_.OpenLinks()) {
+      link_port_.Send(link, MakeIntroduction());
     }
-    ForgetSilentPeers();
+    RemoveSilentPeers();
     registry_.Expire(now);
     ExpireCommands();
   }
-  if (now >= join_at_) {
-    join_at_ = now + kJoinPeriod;
-    AskToJoin();
+  if (now >= next_join_request_) {
+    next_join_request_ = now + kJoinRequestInterval;
+    SendJoinRequests();
   }
-  if (now >= targets_at_) {
-    targets_at_ = now + options_.target_batch;
+  if (now >= next_target_batch_) {
+    next_target_batch_ = now + options_.target_batch_interval;
     SendTargetBatch();
   }
-  if (now >= contents_at_) {
-    TellRoutersDue();
+  if (now >= next_state_send_) {
+    SendDueStateUpdates();
   }
-  if (now >= load_at_) {
+  if (now >= next_load_send_) {
     SendLoad();
   }
-  Drain();
+  ProcessRaftOutput();
 }
 
 time_point control_node::NextDeadline() const {
-  return std::min({raft_.NextDeadline(), heartbeat_at_, join_at_, targets_at_,
-                   contents_at_, load_at_});
+  return std::min({raft_.NextDeadline(), next_heartbeat_, next_join_request_,
+                   next_target_batch_, next_state_send_, next_load_send_});
 }
 
 void control_node::OnLinkUp(link_id link, time_point now) {
   now_ = now;
   links_.OnUp(link, now);
-  link_port_.Send(link, Introduction());
-  target_news all{.targets = AllTargets()};
+  link_port_.Send(link, MakeIntroduction());
+  target_update all{.targets = RecentTargets()};
   if (!all.targets.empty()) {
     link_port_.Send(link, std::move(all));
   }
-  Drain();
+  ProcessRaftOutput();
 }
 
 void control_node::OnLinkDown(link_id link, time_point now) {
@@ -97,27 +97,27 @@
                              const message& message,
                              time_point now) {
   now_ = now;
-  links_.OnHeard(link, now);
+  links_.OnReceived(link, now);
   std::visit([&](const auto& value) { Handle(link, value); }, message);
-  Drain();
+  ProcessRaftOutput();
 }
 
 void control_node::OnDurable(quorum::batch_number batch, time_point now) {
   now_ = now;
   raft_.OnDurable(batch, now);
-  Drain();
+  ProcessRaftOutput();
 }
 
 void control_node::SetSeeds(std::vector<endpoint> seeds, time_point now) {
   now_ = now;
   options_.seeds = std::move(seeds);
-  SetWantedLinks();
+  UpdateLinks();
 }
 
-introduction control_node::Introduction() const {
+introduction control_node::MakeIntroduction() const {
   return {.daemon = options_.daemon,
           .member = raft_.Description(),
-          .held = state_.revision()};
+          .applied_revision = state_.revision()};
 }
 
 void control_node::Handle(link_id link, const introduction& m) {
@@ -127,38 +127,40 @@
   }
   const auto [found, added] = inbound_.try_emplace(link);
   inbound_peer& peer = found->second;
-  peer.described = m;
-  peer.last_heard = now_;
+  peer.last_introduction = m;
+  peer.last_seen = now_;
   peer.is_router = !m.member.has_value();
   if (!peer.is_router) {
-    link_port_.Send(link, Introduction());
+    link_port_.Send(link, MakeIntroduction());
     return;
   }
   routers_[m.daemon] = now_;
   if (added) {
-    link_port_.Send(link, target_news{.targets = AllTargets()});
+    link_port_.Send(link, target_update{.targets = RecentTargets()});
   }
-  TellRouter(link, peer);
+  SendStateUpdate(link, peer);
 }
 
 void control_node::Handle(link_id, const state_update&) {
   // For routers only.
 }
 
-void control_node::Handle(link_id, const target_news& m) {
+void control_node::Handle(link_id, const target_update& m) {
   std::vector<targets::announcement> changed;
-  for (const heard_target& target : m.targets) {
-    const time_point heard = now_ - std::chrono::milliseconds(target.age_ms);
-    const registry_result result = registry_.Update(target.announced, heard);
+  for (const aged_announcement& target : m.targets) {
+    const time_point last_seen =
+        now_ - std::chrono::milliseconds(target.age_ms);
+    const registry_result result =
+        registry_.Update(target.announced, last_seen);
     if (result == registry_result::kChanged) {
       changed.push_back(target.announced);
     } else if (result == registry_result::kRenewed) {
-      renewed_.try_emplace(target.announced.target, false);
+      renewed_targets_.try_emplace(target.announced.target, false);
     }
   }
   // Routers that the first hearer does not reach must know too.
   if (!changed.empty()) {
-    TellTargets(changed);
+    SendTargetsToRouters(changed);
   }
 }
 
@@ -168,11 +170,11 @@
   }
 }
 
-void control_node::Handle(link_id, const load_view&) {
+void control_node::Handle(link_id, const load_summary&) {
   // For routers only.
 }
 
-void control_node::Drain() {
+void control_node::ProcessRaftOutput() {
   quorum::raft_output output = raft_.TakeOutput();
   while (true) {
     if (!output.records.empty()) {
@@ -185,14 +187,14 @@
       ApplyItem(item);
     }
     CompleteReads(output.reads);
-    CompactWhenLong();
+    CompactLogIfLong();
     output = raft_.TakeOutput();
     if (output.records.empty() && output.messages.empty() &&
         output.applied.empty() && output.reads.empty()) {
       break;
     }
   }
-  NoteChanges();
+  ReportChanges();
 }
 
 void control_node::ApplyItem(const quorum::applied_item& item) {
@@ -218,7 +220,7 @@
   }
 }
 
-void control_node::CompactWhenLong() {
+void control_node::CompactLogIfLong() {
   if (entries_since_compaction_ < options_.compact_entries &&
       bytes_since_compaction_ < options_.compact_bytes) {
     return;
@@ -228,36 +230,36 @@
   raft_.Compact(raft_.commit(), state_.Encode());
 }
 
-void control_node::NoteChanges() {
-  const bool new_leader = raft_.leader() != known_leader_;
-  if (raft_.role() != known_role_ || new_leader) {
-    const bool led = known_role_ == raft_role::kLeader;
-    known_role_ = raft_.role();
-    known_leader_ = raft_.leader();
-    port_.OnRole(known_role_, raft_.term(), known_leader_);
-    if (led && known_role_ != raft_role::kLeader) {
+void control_node::ReportChanges() {
+  const bool new_leader = raft_.leader() != reported_leader_;
+  if (raft_.role() != reported_role_ || new_leader) {
+    const bool led = reported_role_ == raft_role::kLeader;
+    reported_role_ = raft_.role();
+    reported_leader_ = raft_.leader();
+    port_.OnRole(reported_role_, raft_.term(), reported_leader_);
+    if (led && reported_role_ != raft_role::kLeader) {
       FailCommands();
     }
   }
-  if (raft_.members() != known_members_) {
-    known_members_ = raft_.members();
-    port_.OnMembers(known_members_);
-    SetWantedLinks();
+  if (raft_.members() != reported_members_) {
+    reported_members_ = raft_.members();
+    port_.OnMembers(reported_members_);
+    UpdateLinks();
   }
-  if (state_.revision() != known_revision_) {
-    known_revision_ = state_.revision();
-    port_.OnState(known_revision_, state_.contents());
-    ExpectState();
+  if (state_.revision() != reported_revision_) {
+    reported_revision_ = state_.revision();
+    port_.OnState(reported_revision_, state_.contents());
+    ScheduleStateUpdates();
   }
 }
 
-void control_node::SetWantedLinks() {
-  std::set<endpoint> wanted(options_.seeds.begin(), options_.seeds.end());
+void control_node::UpdateLinks() {
+  std::set<endpoint> peers(options_.seeds.begin(), options_.seeds.end());
   for (const quorum::member& member : raft_.members()) {
-    wanted.insert(member.links);
+    peers.insert(member.links);
   }
-  wanted.erase(options_.raft.links);
-  links_.SetWanted(wanted, now_);
+  peers.erase(options_.raft.links);
+  links_.SetPeers(peers, now_);
 }
 
 void control_node::SendQuorum(const quorum::outgoing_message& message) {
@@ -265,25 +267,26 @@
   const quorum_envelope envelope{
       .from = raft_.self(), .to = message.to, .contents = message.message};
   if (to != nullptr) {
-    if (const auto link = links_.To(to->links)) {
+    if (const auto link = links_.FindLink(to->links)) {
       link_port_.Send(*link, envelope);
       return;
     }
   }
   // A member that this host does not know yet is answered where it came in.
   for (const auto& [link, peer] : inbound_) {
-    if (peer.described.member && peer.described.member->id == message.to) {
+    if (peer.last_introduction.member &&
+        peer.last_introduction.member->id == message.to) {
       link_port_.Send(link, envelope);
       return;
     }
   }
 }
 
-void control_node::AskToJoin() {
+void control_node::SendJoinRequests() {
   if (!raft_.WantsToJoin(now_)) {
     return;
   }
-  for (const link_id link : links_.Up()) {
+  for (const link_id link : links_.OpenLinks()) {
     link_port_.Send(
         link,
         quorum_envelope{.from = raft_.self(),
@@ -292,12 +295,12 @@
   }
 }
 
-void control_node::ForgetSilentPeers() {
+void control_node::RemoveSilentPeers() {
   std::erase_if(inbound_, [this](const auto& peer) {
-    return now_ - peer.second.last_heard >= kRouterSilence;
+    return now_ - peer.second.last_seen >= kPeerTimeout;
   });
   std::erase_if(routers_, [this](const auto& router) {
-    return now_ - router.second >= kRouterSilence;
+    return now_ - router.second >= kPeerTimeout;
   });
 }
 
--- a/src/control/internal/link_set.cc
+++ b/src/control/internal/link_set.cc
@@ -5,8 +5,8 @@
 
 namespace burdocklock::control {
 
-void link_set::SetWanted(const std::set<endpoint>& wanted, time_point now) {
-  std::set<endpoint> missing = wanted;
+void link_set::SetPeers(const std::set<endpoint>& peers, time_point now) {
+  std::set<endpoint> missing = peers;
   for (auto it = links_.begin(); it != links_.end();) {
     if (missing.erase(it->second.peer) > 0) {
       ++it;
@@ -16,7 +16,7 @@
     it = links_.erase(it);
   }
   for (const endpoint& peer : missing) {
-    links_[port_.Open(peer)] = {.peer = peer, .last_heard = now};
+    links_[port_.Open(peer)] = {.peer = peer, .last_seen = now};
   }
 }
 
@@ -24,7 +24,7 @@
   const auto found = links_.find(link);
   if (found != links_.end()) {
     found->second.up = true;
-    found->second.last_heard = now;
+    found->second.last_seen = now;
   }
 }
 
@@ -35,19 +35,19 @@
   }
 }
 
-void link_set::OnHeard(link_id link, time_point now) {
+void link_set::OnReceived(link_id link, time_point now) {
   const auto found = links_.find(link);
   if (found != links_.end()) {
-    found->second.last_heard = now;
-    found->second.ever_heard = true;
+    found->second.last_seen = now;
+    found->second.has_received = true;
   }
 }
 
-void link_set::Check(time_point now) {
+void link_set::ReopenIdleLinks(time_point now) {
   for (auto& [link, entry] : links_) {
-    if (now - entry.last_heard >= options_.silence) {
-      entry.last_heard = now;
-      entry.ever_heard = false;
+    if (now - entry.last_seen >= options_.idle_timeout) {
+      entry.last_seen = now;
+      entry.has_received = false;
       entry.up = false;
       port_.Reopen(link);
     }
@@ -63,14 +63,14 @@
   return found != links_.end() && found->second.up;
 }
 
-bool link_set::AnyHeard(time_point now) const {
+bool link_set::AnyActive(time_point now) const {
   return std::any_of(links_.begin(), links_.end(), [&](const auto& link) {
-    return link.second.ever_heard &&
-           now - link.second.last_heard < options_.silence;
+    return link.second.has_received &&
+           now - link.second.last_seen < options_.idle_timeout;
   });
 }
 
-std::vector<link_id> link_set::Up() const {
+std::vector<link_id> link_set::OpenLinks() const {
   std::vector<link_id> up;
   for (const auto& [link, entry] : links_) {
     if (entry.up) {
@@ -80,7 +80,7 @@
   return up;
 }
 
-std::optional<link_id> link_set::To(const endpoint& peer) const {
+std::optional<link_id> link_set::FindLink(const endpoint& peer) const {
   for (const auto& [link, entry] : links_) {
     if (entry.peer == peer) {
       return link;
--- a/src/control/internal/load_collector.cc
+++ b/src/control/internal/load_collector.cc
@@ -9,7 +9,7 @@
 namespace {
 
 // A router that has not reported for this time has no load that is known.
-constexpr std::chrono::milliseconds kReportAge{1500};
+constexpr std::chrono::milliseconds kMaxReportAge{1500};
 
 }  // namespace
 
@@ -17,17 +17,17 @@
                               admission::fleet_load load,
                               time_point now) {
   std::erase_if(routers_, [now](const auto& entry) {
-    return now - entry.second.reported >= kReportAge;
+    return now - entry.second.reported >= kMaxReportAge;
   });
   routers_[router] = {.load = std::move(load), .reported = now};
 }
 
-admission::fleet_load load_collector::Others(const daemon_id& router,
-                                             time_point now) const {
+admission::fleet_load load_collector::LoadOfOthers(const daemon_id& router,
+                                                   time_point now) const {
   std::map<target_id, admission::target_load> targets;
   std::map<std::pair<pool_id, customer_id>, admission::customer_flow> customers;
   for (const auto& [daemon, entry] : routers_) {
-    if (daemon == router || now - entry.reported >= kReportAge) {
+    if (daemon == router || now - entry.reported >= kMaxReportAge) {
       continue;
     }
     for (const admission::target_load& load : entry.load.targets) {
--- a/src/control/internal/message_codec.cc
+++ b/src/control/internal/message_codec.cc
@@ -59,10 +59,10 @@
   j.at(2).get_to(c.out);
 }
 
-void to_json(json& j, const heard_target& t) {
+void to_json(json& j, const aged_announcement& t) {
   j = json::array({t.announced, t.age_ms});
 }
-void from_json(const json& j, heard_target& t) {
+void from_json(const json& j, aged_announcement& t) {
   j.at(0).get_to(t.announced);
   j.at(1).get_to(t.age_ms);
 }
@@ -71,10 +71,10 @@
 
 constexpr char kIntroduction[] = "i";
 constexpr char kStateUpdate[] = "s";
-constexpr char kTargetNews[] = "t";
+constexpr char kTargetUpdate[] = "t";
 constexpr char kQuorum[] = "q";
 constexpr char kLoadReport[] = "l";
-constexpr char kLoadView[] = "v";
+constexpr char kLoadSummary[] = "v";
 
 template <typename T>
 json OrNull(const std::optional<T>& value) {
@@ -90,14 +90,15 @@
 
 struct encoder {
   json operator()(const introduction& m) const {
-    return json::array({kIntroduction, m.daemon, OrNull(m.member), m.held});
+    return json::array(
+        {kIntroduction, m.daemon, OrNull(m.member), m.applied_revision});
   }
   json operator()(const state_update& m) const {
     return json::array({kStateUpdate, m.revision, m.current, OrNull(m.contents),
-                        m.control_hosts, m.routers, m.leads});
+                        m.control_hosts, m.routers, m.is_leader});
   }
-  json operator()(const target_news& m) const {
-    return json::array({kTargetNews, m.targets});
+  json operator()(const target_update& m) const {
+    return json::array({kTargetUpdate, m.targets});
   }
   json operator()(const quorum_envelope& m) const {
     return json::array({kQuorum, m.from, m.to, m.contents});
@@ -105,18 +106,18 @@
   json operator()(const load_report& m) const {
     return json::array({kLoadReport, m.daemon, m.load});
   }
-  json operator()(const load_view& m) const {
-    return json::array({kLoadView, m.others});
+  json operator()(const load_summary& m) const {
+    return json::array({kLoadSummary, m.others});
   }
 };
 
-message Read(const json& j) {
+message DecodeMessage(const json& j) {
   const auto& kind = j.at(0).get_ref<const std::string&>();
   if (kind == kIntroduction) {
     introduction m;
     j.at(1).get_to(m.daemon);
     ReadOptional(j.at(2), m.member);
-    j.at(3).get_to(m.held);
+    j.at(3).get_to(m.applied_revision);
     return m;
   }
   if (kind == kStateUpdate) {
@@ -126,11 +127,11 @@
     ReadOptional(j.at(3), m.contents);
     j.at(4).get_to(m.control_hosts);
     j.at(5).get_to(m.routers);
-    j.at(6).get_to(m.leads);
+    j.at(6).get_to(m.is_leader);
     return m;
   }
-  if (kind == kTargetNews) {
-    target_news m;
+  if (kind == kTargetUpdate) {
+    target_update m;
     j.at(1).get_to(m.targets);
     return m;
   }
@@ -147,8 +148,8 @@
     j.at(2).get_to(m.load);
     return m;
   }
-  if (kind == kLoadView) {
-    load_view m;
+  if (kind == kLoadSummary) {
+    load_summary m;
     j.at(1).get_to(m.others);
     return m;
   }
@@ -166,7 +167,7 @@
 result<message> Decode(const std::string& bytes) {
   // nlohmann::json reports malformed input by exception only.
   try {
-    return Read(ParseCbor(bytes));
+    return DecodeMessage(ParseCbor(bytes));
   } catch (const std::exception& problem) {
     return error{.code = error_code::kMalformed,
                  .step = "decode control message",
--- a/src/control/internal/operator_state.cc
+++ b/src/control/internal/operator_state.cc
@@ -39,7 +39,7 @@
   throw std::out_of_range("kind of command");
 }
 
-bool Change(const set_configuration& command, state_contents& contents) {
+bool ApplyChange(const set_configuration& command, state_contents& contents) {
   if (command.version <= contents.version) {
     return false;
   }
@@ -48,7 +48,7 @@
   return true;
 }
 
-bool Change(const set_outage& command, state_contents& contents) {
+bool ApplyChange(const set_outage& command, state_contents& contents) {
   return command.out ? contents.out.insert(command.data_centre).second
                      : contents.out.erase(command.data_centre) > 0;
 }
@@ -73,7 +73,7 @@
                                    const std::string& command) {
   try {
     const bool changed = std::visit(
-        [this](const auto& value) { return Change(value, contents_); },
+        [this](const auto& value) { return ApplyChange(value, contents_); },
         DecodeCommand(command));
     if (changed) {
       revision_ = position;
--- a/src/control/internal/router_client.cc
+++ b/src/control/internal/router_client.cc
@@ -14,42 +14,43 @@
       view_(view),
       links_(links, options_.links),
       started_(now),
-      heartbeat_at_(now) {
-  SetWantedLinks(now);
+      next_heartbeat_(now) {
+  UpdateLinks(now);
 }
 
 void router_client::OnTick(time_point now) {
-  if (now < heartbeat_at_) {
+  if (now < next_heartbeat_) {
     return;
   }
-  heartbeat_at_ = now + options_.links.heartbeat;
-  links_.Check(now);
-  IntroduceToAll();
-  NoteContact(now);
+  next_heartbeat_ = now + options_.links.heartbeat_interval;
+  links_.ReopenIdleLinks(now);
+  SendIntroductions();
+  UpdateContact(now);
   // Better an old state than none, if nobody can tell the newest.
-  const bool waited = now - started_ >= options_.uncertain_wait;
-  if (held_ == state_revision() && candidate_ && waited) {
-    Take(candidate_->revision, candidate_->contents, false);
+  const bool waited = now - started_ >= options_.unconfirmed_state_delay;
+  if (applied_revision_ == state_revision() && candidate_ && waited) {
+    ApplyState(candidate_->revision, candidate_->contents, false);
   }
 }
 
 void router_client::OnLinkUp(link_id link, time_point now) {
   links_.OnUp(link, now);
-  port_.Send(link, introduction{.daemon = options_.daemon, .held = held_});
+  port_.Send(link, introduction{.daemon = options_.daemon,
+                                .applied_revision = applied_revision_});
 }
 
 void router_client::OnLinkDown(link_id link, time_point now) {
   links_.OnDown(link);
-  NoteContact(now);
+  UpdateContact(now);
 }
 
 void router_client::OnMessage(link_id link,
                               const message& message,
                               time_point now) {
-  links_.OnHeard(link, now);
-  NoteContact(now);
+  links_.OnReceived(link, now);
+  UpdateContact(now);
   if (const auto* update = std::get_if<state_update>(&message)) {
-    if (update->leads && update->current) {
+    if (update->is_leader && update->current) {
       collector_ = link;
     } else if (collector_ == link) {
       collector_.reset();
@@ -60,7 +61,7 @@
 
 void router_client::SetSeeds(std::vector<endpoint> seeds, time_point now) {
   options_.seeds = std::move(seeds);
-  SetWantedLinks(now);
+  UpdateLinks(now);
 }
 
 void router_client::Handle(const introduction&, time_point) {
@@ -75,7 +76,7 @@
   // For control hosts only.
 }
 
-void router_client::Handle(const load_view& m, time_point) {
+void router_client::Handle(const load_summary& m, time_point) {
   view_.OnOthersLoad(m.others);
 }
 
@@ -91,14 +92,14 @@
     std::set<endpoint> hosts(m.control_hosts.begin(), m.control_hosts.end());
     if (!hosts.empty() && hosts != control_hosts_) {
       control_hosts_ = std::move(hosts);
-      SetWantedLinks(now);
+      UpdateLinks(now);
     }
     if (m.routers != routers_) {
       routers_ = m.routers;
       view_.OnRouters(routers_);
     }
   }
-  if (m.revision <= held_) {
+  if (m.revision <= applied_revision_) {
     return;
   }
   if (m.contents && (!candidate_ || candidate_->revision < m.revision)) {
@@ -107,42 +108,43 @@
   }
   // A committed state may be told by a host that is not certain that it is the
   // newest; a router that holds an older one is better off with it.
-  const bool take = m.current || held_ != state_revision();
-  if (take && candidate_ && candidate_->revision == m.revision) {
-    Take(m.revision, candidate_->contents, m.current);
+  const bool accept = m.current || applied_revision_ != state_revision();
+  if (accept && candidate_ && candidate_->revision == m.revision) {
+    ApplyState(m.revision, candidate_->contents, m.current);
   }
 }
 
-void router_client::Handle(const target_news& m, time_point now) {
-  for (const heard_target& target : m.targets) {
+void router_client::Handle(const target_update& m, time_point now) {
+  for (const aged_announcement& target : m.targets) {
     view_.OnTarget(target.announced,
                    now - std::chrono::milliseconds(target.age_ms));
   }
 }
 
-void router_client::Take(state_revision revision,
-                         const state_contents& contents,
-                         bool current) {
-  held_ = revision;
+void router_client::ApplyState(state_revision revision,
+                               const state_contents& contents,
+                               bool current) {
+  applied_revision_ = revision;
   view_.OnState(revision, contents, current);
   candidate_.reset();
-  IntroduceToAll();
+  SendIntroductions();
 }
 
-void router_client::IntroduceToAll() {
-  for (const link_id link : links_.Up()) {
-    port_.Send(link, introduction{.daemon = options_.daemon, .held = held_});
+void router_client::SendIntroductions() {
+  for (const link_id link : links_.OpenLinks()) {
+    port_.Send(link, introduction{.daemon = options_.daemon,
+                                  .applied_revision = applied_revision_});
   }
 }
 
-void router_client::SetWantedLinks(time_point now) {
-  std::set<endpoint> wanted = control_hosts_;
-  wanted.insert(options_.seeds.begin(), options_.seeds.end());
-  links_.SetWanted(wanted, now);
+void router_client::UpdateLinks(time_point now) {
+  std::set<endpoint> peers = control_hosts_;
+  peers.insert(options_.seeds.begin(), options_.seeds.end());
+  links_.SetPeers(peers, now);
 }
 
-void router_client::NoteContact(time_point now) {
-  const bool in_contact = links_.AnyHeard(now);
+void router_client::UpdateContact(time_point now) {
+  const bool in_contact = links_.AnyActive(now);
   if (in_contact != std::exchange(in_contact_, in_contact)) {
     view_.OnContact(in_contact);
   }
--- a/src/control/internal/target_registry.cc
+++ b/src/control/internal/target_registry.cc
@@ -13,30 +13,31 @@
 // Longer than any announcement may be late.
 constexpr std::chrono::minutes kRetention{2};
 
-bool IsStale(const announcement& known, const announcement& news) {
-  if (news.life != known.life) {
-    return news.life < known.life;
+bool IsStale(const announcement& known, const announcement& update) {
+  if (update.life != known.life) {
+    return update.life < known.life;
   }
-  return news.sequence <= known.sequence;
+  return update.sequence <= known.sequence;
 }
 
 // Routers decide by these; the rest can wait for the next batch.
-bool MattersAtOnce(const announcement& known, const announcement& news) {
+bool NeedsImmediateUpdate(const announcement& known,
+                          const announcement& update) {
   const bool turned_cold =
-      news.cold_for.value_or(std::chrono::milliseconds(0)) >
+      update.cold_for.value_or(std::chrono::milliseconds(0)) >
       known.cold_for.value_or(std::chrono::milliseconds(0));
-  return news.life != known.life || news.state != known.state ||
-         news.address != known.address || news.pools != known.pools ||
-         news.slots != known.slots || turned_cold;
+  return update.life != known.life || update.state != known.state ||
+         update.address != known.address || update.pools != known.pools ||
+         update.slots != known.slots || turned_cold;
 }
 
 }  // namespace
 
 registry_result target_registry::Update(const announcement& announcement,
-                                        time_point heard) {
+                                        time_point last_seen) {
   const auto [found, added] = entries_.try_emplace(
       announcement.target,
-      registry_entry{.announced = announcement, .heard = heard});
+      registry_entry{.announced = announcement, .last_seen = last_seen});
   if (added) {
     return registry_result::kChanged;
   }
@@ -44,9 +45,9 @@
   if (IsStale(known.announced, announcement)) {
     return registry_result::kStale;
   }
-  const bool changed = MattersAtOnce(known.announced, announcement);
+  const bool changed = NeedsImmediateUpdate(known.announced, announcement);
   known.announced = announcement;
-  known.heard = std::max(known.heard, heard);
+  known.last_seen = std::max(known.last_seen, last_seen);
   return changed ? registry_result::kChanged : registry_result::kRenewed;
 }
 
@@ -59,19 +60,19 @@
     return std::nullopt;
   }
   registry_entry& known = found->second;
-  const bool other_life = life && *life != known.announced.life;
-  if (other_life || known.announced.sequence == targets::kLastSequence) {
+  const bool other_incarnation = life && *life != known.announced.life;
+  if (other_incarnation || known.announced.sequence == targets::kLastSequence) {
     return std::nullopt;
   }
   known.announced.state = targets::target_state::kLeaving;
   known.announced.sequence = targets::kLastSequence;
-  known.heard = now;
+  known.last_seen = now;
   return known.announced;
 }
 
 void target_registry::Expire(time_point now) {
   std::erase_if(entries_, [now](const auto& entry) {
-    return now - entry.second.heard >= kRetention;
+    return now - entry.second.last_seen >= kRetention;
   });
 }
 
--- a/src/control/load_collector.h
+++ b/src/control/load_collector.h
@@ -15,8 +15,8 @@
                 admission::fleet_load load,
                 time_point now);
   /// The sum over all routers but this one that have reported lately.
-  [[nodiscard]] admission::fleet_load Others(const daemon_id& router,
-                                             time_point now) const;
+  [[nodiscard]] admission::fleet_load LoadOfOthers(const daemon_id& router,
+                                                   time_point now) const;
 
  private:
   struct entry {
--- a/src/control/router_client.h
+++ b/src/control/router_client.h
@@ -21,7 +21,7 @@
   link_options links;
   /// A router that holds nothing takes a state of which no control host is
   /// certain only after this time.
-  duration uncertain_wait = std::chrono::seconds(2);
+  duration unconfirmed_state_delay = std::chrono::seconds(2);
 };
 
 /// Deterministic state machine over its ports.
@@ -35,7 +35,7 @@
                 time_point now);
 
   void OnTick(time_point now);
-  [[nodiscard]] time_point NextDeadline() const { return heartbeat_at_; }
+  [[nodiscard]] time_point NextDeadline() const { return next_heartbeat_; }
   void OnLinkUp(link_id link, time_point now);
   void OnLinkDown(link_id link, time_point now);
   void OnMessage(link_id link, const message& message, time_point now);
@@ -43,9 +43,11 @@
 
   /// Tells the other routers about this one's load; `OnOthersLoad` follows.
   void ReportLoad(const admission::fleet_load& load);
-  [[nodiscard]] state_revision held() const { return held_; }
+  [[nodiscard]] state_revision applied_revision() const {
+    return applied_revision_;
+  }
   [[nodiscard]] bool InContact(time_point now) const {
-    return links_.AnyHeard(now);
+    return links_.AnyActive(now);
   }
 
  private:
@@ -57,24 +59,24 @@
 
   void Handle(const introduction& m, time_point now);
   void Handle(const state_update& m, time_point now);
-  void Handle(const target_news& m, time_point now);
+  void Handle(const target_update& m, time_point now);
   void Handle(const quorum_envelope& m, time_point now);
   void Handle(const load_report& m, time_point now);
-  void Handle(const load_view& m, time_point now);
-  void Take(state_revision revision,
-            const state_contents& contents,
-            bool current);
-  void IntroduceToAll();
-  void SetWantedLinks(time_point now);
-  void NoteContact(time_point now);
+  void Handle(const load_summary& m, time_point now);
+  void ApplyState(state_revision revision,
+                  const state_contents& contents,
+                  bool current);
+  void SendIntroductions();
+  void UpdateLinks(time_point now);
+  void UpdateContact(time_point now);
 
   router_client_options options_;
   i_link_port& port_;
   i_router_view& view_;
   link_set links_;
   time_point started_;
-  time_point heartbeat_at_;
-  state_revision held_;
+  time_point next_heartbeat_;
+  state_revision applied_revision_;
   /// Link to the host that collects the routers' load.
   std::optional<link_id> collector_;
   /// The newest state that was told by a host not certain of it.
--- a/src/control/target_registry.h
+++ b/src/control/target_registry.h
@@ -34,7 +34,7 @@
 
 struct registry_entry {
   targets::announcement announced;
-  time_point heard;
+  time_point last_seen;
 };
 
 /// Soft state, ordered by (incarnation, sequence) of each target.
@@ -45,7 +45,7 @@
  public:
   /// `heard` may lie in the past if another host heard it.
   registry_result Update(const targets::announcement& announcement,
-                         time_point heard);
+                         time_point last_seen);
   /// The target has said that it goes; `life` if it has said which one. Returns
   /// what others are to be told, or nullopt if it is not known or gone already.
   std::optional<targets::announcement> Withdraw(const target_id& target,
--- a/src/control/tests/control_fixture.h
+++ b/src/control/tests/control_fixture.h
@@ -21,10 +21,10 @@
 
 namespace burdocklock::control {
 
-inline endpoint LinkOf(std::size_t host) {
+inline endpoint LinkEndpoint(std::size_t host) {
   return {.address = "10.0.0." + std::to_string(host), .port = 7400};
 }
-inline endpoint CommandsOf(std::size_t host) {
+inline endpoint CommandEndpoint(std::size_t host) {
   return {.address = "10.0.0." + std::to_string(host), .port = 8785};
 }
 
@@ -36,9 +36,9 @@
     std::size_t to = 0;
   };
 
-  void Cut(std::size_t a, std::size_t b) {
-    cuts.emplace(a, b);
-    cuts.emplace(b, a);
+  void Disconnect(std::size_t a, std::size_t b) {
+    disconnected.emplace(a, b);
+    disconnected.emplace(b, a);
   }
 
   struct packet {
@@ -47,10 +47,10 @@
     link_id link;
     message contents;
   };
-  std::set<std::pair<std::size_t, std::size_t>> cuts;
+  std::set<std::pair<std::size_t, std::size_t>> disconnected;
   std::map<std::uint64_t, connection> connections;
   std::deque<packet> packets;
-  std::deque<std::pair<std::size_t, link_id>> ups;
+  std::deque<std::pair<std::size_t, link_id>> pending_opens;
   std::uint64_t last_link = 0;
   time_point now{std::chrono::seconds(100)};
 };
@@ -64,10 +64,12 @@
     const link_id link(++network_.last_link);
     network_.connections[link.value()] = {self_,
                                           std::stoul(peer.address.substr(7))};
-    network_.ups.emplace_back(self_, link);
+    network_.pending_opens.emplace_back(self_, link);
     return link;
   }
-  void Reopen(link_id link) override { network_.ups.emplace_back(self_, link); }
+  void Reopen(link_id link) override {
+    network_.pending_opens.emplace_back(self_, link);
+  }
   void Close(link_id link) override {
     network_.connections.erase(link.value());
   }
@@ -78,7 +80,7 @@
     }
     const auto& ends = found->second;
     const std::size_t to = ends.from == self_ ? ends.to : ends.from;
-    if (!network_.cuts.contains({self_, to})) {
+    if (!network_.disconnected.contains({self_, to})) {
       network_.packets.push_back(
           {network_.now + std::chrono::milliseconds(2), to, link, message});
     }
@@ -89,7 +91,7 @@
   std::size_t self_;
 };
 
-struct fake_control : i_control_port {
+struct fake_control_port : i_control_port {
   void Store(quorum::batch_number batch,
              std::vector<quorum::storage_record> records) override {
     for (const auto& record : records) {
@@ -110,33 +112,31 @@
   int problems = 0;
 };
 
-struct fake_router : i_router_view {
+struct fake_router_view : i_router_view {
   void OnState(state_revision revision,
                const state_contents& contents,
                bool) override {
-    went_back |= revision < held;
-    held = revision;
+    revision_decreased |= revision < applied_revision;
+    applied_revision = revision;
     state = contents;
   }
   void OnTarget(const targets::announcement& announcement,
                 time_point) override {
     targets[announcement.target] = announcement;
   }
-  void OnRouters(const std::vector<daemon_id>& names) override {
-    routers = names;
-  }
-  void OnContact(bool in_contact) override { contact = in_contact; }
+  void OnRouters(const std::vector<daemon_id>& ids) override { routers = ids; }
+  void OnContact(bool in_contact) override { connected = in_contact; }
   void OnOthersLoad(const admission::fleet_load& load) override {
     others = load;
   }
 
-  state_revision held;
+  state_revision applied_revision;
   state_contents state;
   std::map<target_id, targets::announcement> targets;
   std::vector<daemon_id> routers;
   admission::fleet_load others;
-  bool contact = false;
-  bool went_back = false;
+  bool connected = false;
+  bool revision_decreased = false;
 };
 
 // Daemons 0 to 2 are control hosts, 3 and 4 routers.
@@ -147,24 +147,24 @@
   seeded_random random{3};
   fake_network network;
   std::vector<std::unique_ptr<fake_links>> links;
-  std::vector<std::unique_ptr<fake_control>> ports;
+  std::vector<std::unique_ptr<fake_control_port>> ports;
   std::vector<std::unique_ptr<control_node>> hosts;
-  std::vector<std::unique_ptr<fake_router>> views;
+  std::vector<std::unique_ptr<fake_router_view>> views;
   std::vector<std::unique_ptr<router_client>> routers;
 
   control_fixture() {
     quorum::membership first;
     for (std::size_t i = 0; i < kHosts; ++i) {
       first.push_back({.id = quorum::member_id("h" + std::to_string(i)),
-                       .links = LinkOf(i),
-                       .commands = CommandsOf(i),
+                       .links = LinkEndpoint(i),
+                       .commands = CommandEndpoint(i),
                        .voter = true});
     }
     for (std::size_t i = 0; i < kHosts + kRouters; ++i) {
       links.push_back(std::make_unique<fake_links>(network, i));
     }
     for (std::size_t i = 0; i < kHosts; ++i) {
-      ports.push_back(std::make_unique<fake_control>());
+      ports.push_back(std::make_unique<fake_control_port>());
       ports[i]->disk.self = first[i].id;
       ports[i]->disk.base = {.last_index = quorum::log_index(1),
                              .last_term = quorum::term_number(1),
@@ -173,7 +173,7 @@
       StartHost(i);
     }
     for (std::size_t i = 0; i < kRouters; ++i) {
-      views.push_back(std::make_unique<fake_router>());
+      views.push_back(std::make_unique<fake_router_view>());
       routers.emplace_back();
       StartRouter(i);
     }
@@ -181,7 +181,7 @@
   }
 
   static std::vector<endpoint> Seeds() {
-    return {LinkOf(0), LinkOf(1), LinkOf(2)};
+    return {LinkEndpoint(0), LinkEndpoint(1), LinkEndpoint(2)};
   }
   void StartHost(std::size_t i) {
     hosts[i] = std::make_unique<control_node>(
@@ -189,11 +189,11 @@
             .daemon = daemon_id("c" + std::to_string(i)),
             .seeds = Seeds(),
             .data_centres = {data_centre_id("cheras")},
-            .raft = {.links = LinkOf(i), .commands = CommandsOf(i)}},
+            .raft = {.links = LinkEndpoint(i), .commands = CommandEndpoint(i)}},
         ports[i]->disk, random, *links[i], *ports[i], network.now);
   }
   void StartRouter(std::size_t i) {
-    *views[i] = fake_router();
+    *views[i] = fake_router_view();
     routers[i] = std::make_unique<router_client>(
         router_client_options{.daemon = daemon_id("r" + std::to_string(i)),
                               .seeds = Seeds()},
@@ -208,10 +208,11 @@
     }
   }
   void Step() {
-    for (const auto& [daemon, link] : std::exchange(network.ups, {})) {
+    for (const auto& [daemon, link] :
+         std::exchange(network.pending_opens, {})) {
       const auto found = network.connections.find(link.value());
       if (found == network.connections.end() ||
-          network.cuts.contains({daemon, found->second.to})) {
+          network.disconnected.contains({daemon, found->second.to})) {
         continue;
       }
       if (daemon < kHosts) {
@@ -277,14 +278,14 @@
     RunFor(std::chrono::milliseconds(100));
     return *read;
   }
-  void CutOff(std::size_t daemon) {
+  void Isolate(std::size_t daemon) {
     for (std::size_t other = 0; other < kHosts + kRouters; ++other) {
-      network.Cut(daemon, other);
+      network.Disconnect(daemon, other);
     }
   }
-  static targets::announcement Target(std::uint64_t life,
-                                      std::uint64_t sequence,
-                                      targets::target_state state) {
+  static targets::announcement MakeTarget(std::uint64_t life,
+                                          std::uint64_t sequence,
+                                          targets::target_state state) {
     return {.target = target_id("t"),
             .life = incarnation(life),
             .data_centre = data_centre_id("cheras"),
--- a/src/control/tests/control_unittest.cc
+++ b/src/control/tests/control_unittest.cc
@@ -36,26 +36,26 @@
   const std::size_t leader = Leader();
   command_outcome outcome;
   hosts[(leader + 1) % kHosts]->ReplaceConfiguration(
-      1, "one", [&](const command_outcome& got) { outcome = got; });
+      1, "one", [&](const command_outcome& result) { outcome = result; });
   CHECK(outcome.status == command_status::kNotLeader);
-  CHECK(outcome.leader == CommandsOf(leader));
+  CHECK(outcome.leader == CommandEndpoint(leader));
 }
 
 TEST_CASE_METHOD(control_fixture,
                  "configuration: at a leader cut off: no clear outcome") {
-  const std::size_t old = Leader();
-  REQUIRE(Replace(old, 5, "five") == command_status::kDone);
-  CutOff(old);
-  CHECK(Replace(old, 6, "six") == command_status::kUnknown);
+  const std::size_t old_leader = Leader();
+  REQUIRE(Replace(old_leader, 5, "five") == command_status::kDone);
+  Isolate(old_leader);
+  CHECK(Replace(old_leader, 6, "six") == command_status::kUnknown);
   RunFor(seconds(3));
   CHECK(Replace(Leader(), 7, "seven") == command_status::kDone);
-  CHECK(Read(old).status != command_status::kDone);
-  network.cuts.clear();
+  CHECK(Read(old_leader).status != command_status::kDone);
+  network.disconnected.clear();
   RunFor(seconds(4));
   CHECK(Read(Leader()).document == "seven");
   for (const auto& view : views) {
     CHECK(view->state.document == "seven");
-    CHECK_FALSE(view->went_back);
+    CHECK_FALSE(view->revision_decreased);
   }
 }
 
@@ -65,7 +65,7 @@
   REQUIRE(Replace(Leader(), 5, "five") == command_status::kDone);
   const std::size_t behind = (Leader() + 1) % kHosts;
   for (std::size_t other = 0; other < kHosts; ++other) {
-    network.Cut(behind, other);
+    network.Disconnect(behind, other);
   }
   RunFor(seconds(3));
   REQUIRE(Replace(Leader(), 6, "six") == command_status::kDone);
@@ -80,13 +80,13 @@
   REQUIRE(Replace(Leader(), 5, "five") == command_status::kDone);
   // Followers learn with the next heartbeat that it is committed.
   RunFor(milliseconds(500));
-  CutOff((Leader() + 1) % kHosts);
-  CutOff(Leader());
+  Isolate((Leader() + 1) % kHosts);
+  Isolate(Leader());
   // Until then what it last heard from the leader is recent enough.
   RunFor(seconds(1));
   StartRouter(0);
   RunFor(milliseconds(1500));
-  CHECK(views[0]->held == state_revision());
+  CHECK(views[0]->applied_revision == state_revision());
   RunFor(seconds(2));
   CHECK(views[0]->state.document == "five");
 }
@@ -119,31 +119,33 @@
 TEST_CASE_METHOD(control_fixture,
                  "outage: ordered and taken back: known to routers") {
   command_status status = command_status::kUnknown;
-  const auto note = [&](const command_outcome& o) { status = o.status; };
-  hosts[Leader()]->SetOutage(data_centre_id("cheras"), true, note);
+  const auto record_status = [&](const command_outcome& o) {
+    status = o.status;
+  };
+  hosts[Leader()]->SetOutage(data_centre_id("cheras"), true, record_status);
   RunFor(milliseconds(100));
   CHECK(status == command_status::kDone);
   CHECK(views[1]->state.out.contains(data_centre_id("cheras")));
-  hosts[Leader()]->SetOutage(data_centre_id("cheras"), false, note);
+  hosts[Leader()]->SetOutage(data_centre_id("cheras"), false, record_status);
   RunFor(milliseconds(100));
   CHECK(views[1]->state.out.empty());
-  hosts[Leader()]->SetOutage(data_centre_id("nowhere"), true, note);
+  hosts[Leader()]->SetOutage(data_centre_id("nowhere"), true, record_status);
   CHECK(status == command_status::kNoSuchPlace);
 }
 
 TEST_CASE_METHOD(control_fixture,
                  "target: leaves: routers told in 50 ms, late words ignored") {
   hosts[0]->SetTime(network.now);
-  hosts[0]->Announce(Target(1, 7, targets::target_state::kReady));
+  hosts[0]->Announce(MakeTarget(1, 7, targets::target_state::kReady));
   RunFor(milliseconds(50));
   REQUIRE(views[0]->targets.contains(target_id("t")));
   hosts[1]->SetTime(network.now);
-  hosts[1]->Announce(Target(1, 9, targets::target_state::kLeaving));
+  hosts[1]->Announce(MakeTarget(1, 9, targets::target_state::kLeaving));
   RunFor(milliseconds(50));
   CHECK(views[0]->targets[target_id("t")].state ==
         targets::target_state::kLeaving);
   hosts[2]->SetTime(network.now);
-  hosts[2]->Announce(Target(1, 8, targets::target_state::kReady));
+  hosts[2]->Announce(MakeTarget(1, 8, targets::target_state::kReady));
   RunFor(seconds(2));
   CHECK(views[0]->targets[target_id("t")].state ==
         targets::target_state::kLeaving);
@@ -152,18 +154,18 @@
 TEST_CASE_METHOD(control_fixture,
                  "target: gone, then started anew: only the new life counts") {
   hosts[0]->SetTime(network.now);
-  hosts[0]->Announce(Target(1, 7, targets::target_state::kReady));
+  hosts[0]->Announce(MakeTarget(1, 7, targets::target_state::kReady));
   RunFor(milliseconds(50));
   hosts[1]->SetTime(network.now);
   hosts[1]->Withdraw(target_id("t"), std::nullopt);
   RunFor(milliseconds(50));
   hosts[0]->SetTime(network.now);
-  hosts[0]->Announce(Target(1, 8, targets::target_state::kReady));
+  hosts[0]->Announce(MakeTarget(1, 8, targets::target_state::kReady));
   RunFor(milliseconds(50));
   CHECK(views[0]->targets[target_id("t")].state ==
         targets::target_state::kLeaving);
   hosts[0]->SetTime(network.now);
-  hosts[0]->Announce(Target(2, 1, targets::target_state::kReady));
+  hosts[0]->Announce(MakeTarget(2, 1, targets::target_state::kReady));
   RunFor(milliseconds(50));
   CHECK(views[0]->targets[target_id("t")].life == incarnation(2));
 }
@@ -193,10 +195,10 @@
 TEST_CASE_METHOD(control_fixture, "routers: told of one another") {
   RunFor(seconds(1));
   CHECK(views[0]->routers.size() == 2);
-  CHECK(views[0]->contact);
-  CutOff(kHosts);
+  CHECK(views[0]->connected);
+  Isolate(kHosts);
   RunFor(seconds(3));
-  CHECK_FALSE(views[0]->contact);
+  CHECK_FALSE(views[0]->connected);
 }
 
 }  // namespace
--- a/src/control/types/message.h
+++ b/src/control/types/message.h
@@ -37,7 +37,7 @@
   /// Of a control host.
   std::optional<quorum::member> member;
   /// Of a router: what it works with.
-  state_revision held;
+  state_revision applied_revision;
 };
 
 /// Answers a router's introduction; also sent when the state has changed.
@@ -46,21 +46,21 @@
   /// The sender is certain that it has missed nothing.
   bool current = false;
   /// The sender collects the routers' load.
-  bool leads = false;
+  bool is_leader = false;
   /// Absent if the router holds this revision.
   std::optional<state_contents> contents;
   std::vector<endpoint> control_hosts;
   std::vector<daemon_id> routers;
 };
 
-struct heard_target {
+struct aged_announcement {
   targets::announcement announced;
   /// Milliseconds since it was heard.
   std::uint64_t age_ms = 0;
 };
 
-struct target_news {
-  std::vector<heard_target> targets;
+struct target_update {
+  std::vector<aged_announcement> targets;
 };
 
 struct quorum_envelope {
@@ -77,15 +77,15 @@
 };
 
 /// Answers a report: the sum over all other routers.
-struct load_view {
+struct load_summary {
   admission::fleet_load others;
 };
 
 using message = std::variant<introduction,
                              state_update,
-                             target_news,
+                             target_update,
                              quorum_envelope,
                              load_report,
-                             load_view>;
+                             load_summary>;
 
 }  // namespace burdocklock::control
--- a/src/peer/internal/peer_network.cc
+++ b/src/peer/internal/peer_network.cc
@@ -19,16 +19,20 @@
 using client = websocketpp::client<websocketpp::config::asio_client>;
 using websocketpp::connection_hdl;
 
-constexpr std::uint64_t kFirstInbound = 1'000'000;
+constexpr std::uint64_t kFirstInboundLink = 1'000'000;
 // What a message costs on the wire beside its payload: TCP/IP headers and the
 // WebSocket frame.
-constexpr std::size_t kOverheadBytes = 52 + 8;
+constexpr std::size_t kMessageOverheadBytes = 52 + 8;
 
 }  // namespace
 
 struct peer_network::state : std::enable_shared_from_this<state> {
-  state(boost::asio::io_context& io, peer_options opts, peer_handlers hands)
-      : io(io), options(std::move(opts)), handlers(std::move(hands)) {}
+  state(boost::asio::io_context& io,
+        peer_options init_options,
+        peer_handlers init_handlers)
+      : io(io),
+        options(std::move(init_options)),
+        handlers(std::move(init_handlers)) {}
 
   struct outbound {
     std::string uri;
@@ -38,16 +42,16 @@
     std::uint64_t generation = 0;
   };
 
-  std::uint16_t Listen(std::string& problem);
+  std::uint16_t Listen(std::string& error_message);
   void Connect(std::uint64_t link);
-  void ConnectLater(std::uint64_t link);
-  void OnClientDown(std::uint64_t link,
-                    std::uint64_t generation,
-                    const std::string& detail);
+  void ScheduleReconnect(std::uint64_t link);
+  void OnOutboundClosed(std::uint64_t link,
+                        std::uint64_t generation,
+                        const std::string& detail);
   [[nodiscard]] bool IsCurrent(std::uint64_t link,
                                std::uint64_t generation) const {
-    const auto found = out.find(link);
-    return !stopped && found != out.end() &&
+    const auto found = outbound_links.find(link);
+    return !stopped && found != outbound_links.end() &&
            found->second.generation == generation;
   }
   void Receive(std::uint64_t link, const std::string& payload);
@@ -58,17 +62,17 @@
   peer_handlers handlers;
   server acceptor;
   client connector;
-  std::map<std::uint64_t, outbound> out;
-  std::map<std::uint64_t, connection_hdl> in;
+  std::map<std::uint64_t, outbound> outbound_links;
+  std::map<std::uint64_t, connection_hdl> inbound_links;
   std::map<connection_hdl, std::uint64_t, std::owner_less<connection_hdl>>
-      in_by_handle;
-  std::uint64_t next_inbound = kFirstInbound;
+      inbound_by_handle;
+  std::uint64_t next_inbound = kFirstInboundLink;
   std::uint64_t last_outbound = 0;
   peer_traffic traffic;
   bool stopped = false;
 };
 
-std::uint16_t peer_network::state::Listen(std::string& problem) {
+std::uint16_t peer_network::state::Listen(std::string& error_message) {
   websocketpp::lib::error_code ec;
   acceptor.clear_access_channels(websocketpp::log::alevel::all);
   acceptor.clear_error_channels(websocketpp::log::elevel::all);
@@ -76,9 +80,9 @@
   acceptor.set_reuse_addr(true);
   acceptor.set_max_message_size(options.max_message_bytes);
   acceptor.set_tcp_post_init_handler([this](const connection_hdl& handle) {
-    websocketpp::lib::error_code lookup;
-    const auto connection = acceptor.get_con_from_hdl(handle, lookup);
-    if (!lookup) {
+    websocketpp::lib::error_code lookup_error;
+    const auto connection = acceptor.get_con_from_hdl(handle, lookup_error);
+    if (!lookup_error) {
       boost::system::error_code ignored;
       connection->get_raw_socket().set_option(
           boost::asio::ip::tcp::no_delay(true), ignored);
@@ -86,30 +90,30 @@
   });
   acceptor.set_open_handler([this](const connection_hdl& handle) {
     const std::uint64_t link = next_inbound++;
-    in[link] = handle;
-    in_by_handle[handle] = link;
+    inbound_links[link] = handle;
+    inbound_by_handle[handle] = link;
   });
   acceptor.set_message_handler(
       [this](const connection_hdl& handle, const server::message_ptr& message) {
-        const auto found = in_by_handle.find(handle);
-        if (!stopped && found != in_by_handle.end()) {
+        const auto found = inbound_by_handle.find(handle);
+        if (!stopped && found != inbound_by_handle.end()) {
           Receive(found->second, message->get_payload());
         }
       });
-  const auto on_gone = [this](const connection_hdl& handle) {
-    const auto found = in_by_handle.find(handle);
-    if (found == in_by_handle.end()) {
+  const auto on_closed = [this](const connection_hdl& handle) {
+    const auto found = inbound_by_handle.find(handle);
+    if (found == inbound_by_handle.end()) {
       return;
     }
     const std::uint64_t link = found->second;
-    in.erase(link);
-    in_by_handle.erase(found);
+    inbound_links.erase(link);
+    inbound_by_handle.erase(found);
     if (!stopped) {
       handlers.on_down(link, "closed by peer");
     }
   };
-  acceptor.set_close_handler(on_gone);
-  acceptor.set_fail_handler(on_gone);
+  acceptor.set_close_handler(on_closed);
+  acceptor.set_fail_handler(on_closed);
   const boost::asio::ip::tcp::endpoint address(
       boost::asio::ip::make_address(options.listen_address),
       options.listen_port);
@@ -120,7 +124,7 @@
     acceptor.start_accept(ec);
   }
   if (ec) {
-    problem = ec.message();
+    error_message = ec.message();
     return 0;
   }
   websocketpp::lib::asio::error_code local_ec;
@@ -129,19 +133,19 @@
 
 void peer_network::state::Connect(std::uint64_t link) {
   websocketpp::lib::error_code ec;
-  outbound& entry = out[link];
+  outbound& entry = outbound_links[link];
   const std::uint64_t generation = ++entry.generation;
   entry.open = false;
   const client::connection_ptr connection =
       connector.get_connection(entry.uri, ec);
   if (ec) {
-    ConnectLater(link);
+    ScheduleReconnect(link);
     return;
   }
   entry.handle = connection->get_handle();
   connection->set_open_handler([this, link, generation](const connection_hdl&) {
-    const auto found = out.find(link);
-    if (stopped || found == out.end() ||
+    const auto found = outbound_links.find(link);
+    if (stopped || found == outbound_links.end() ||
         found->second.generation != generation) {
       return;
     }
@@ -157,34 +161,34 @@
       });
   connection->set_close_handler(
       [this, link, generation](const connection_hdl&) {
-        OnClientDown(link, generation, "closed by peer");
+        OnOutboundClosed(link, generation, "closed by peer");
       });
   connection->set_fail_handler(
       [this, link, generation, raw = connection.get()](const connection_hdl&) {
-        OnClientDown(link, generation, raw->get_ec().message());
+        OnOutboundClosed(link, generation, raw->get_ec().message());
       });
   connector.connect(connection);
 }
 
-void peer_network::state::OnClientDown(std::uint64_t link,
-                                       std::uint64_t generation,
-                                       const std::string& detail) {
+void peer_network::state::OnOutboundClosed(std::uint64_t link,
+                                           std::uint64_t generation,
+                                           const std::string& detail) {
   if (!IsCurrent(link, generation)) {
     return;
   }
-  outbound& entry = out[link];
+  outbound& entry = outbound_links[link];
   const bool was_open = entry.open;
   entry.open = false;
   if (was_open) {
     handlers.on_down(link, detail);
   }
-  ConnectLater(link);
+  ScheduleReconnect(link);
 }
 
-void peer_network::state::ConnectLater(std::uint64_t link) {
+void peer_network::state::ScheduleReconnect(std::uint64_t link) {
   auto timer = std::make_shared<boost::asio::steady_timer>(
       io, std::chrono::milliseconds(options.reconnect_ms));
-  const std::uint64_t generation = out[link].generation;
+  const std::uint64_t generation = outbound_links[link].generation;
   timer->async_wait([self = shared_from_this(), timer, link,
                      generation](const boost::system::error_code& ec) {
     if (!ec && self->IsCurrent(link, generation)) {
@@ -196,7 +200,7 @@
 void peer_network::state::Receive(std::uint64_t link,
                                   const std::string& payload) {
   ++traffic.messages_received;
-  traffic.bytes_received += payload.size() + kOverheadBytes;
+  traffic.bytes_received += payload.size() + kMessageOverheadBytes;
   if (!handlers.on_message(link, payload)) {
     Close(link);
   }
@@ -204,14 +208,14 @@
 
 void peer_network::state::Close(std::uint64_t link) {
   websocketpp::lib::error_code ignored;
-  const auto outbound_link = out.find(link);
-  if (outbound_link != out.end()) {
+  const auto outbound_link = outbound_links.find(link);
+  if (outbound_link != outbound_links.end()) {
     connector.close(outbound_link->second.handle,
                     websocketpp::close::status::normal, "", ignored);
     return;
   }
-  const auto inbound_link = in.find(link);
-  if (inbound_link != in.end()) {
+  const auto inbound_link = inbound_links.find(link);
+  if (inbound_link != inbound_links.end()) {
     acceptor.close(inbound_link->second, websocketpp::close::status::normal, "",
                    ignored);
   }
@@ -228,10 +232,10 @@
   Stop();
 }
 
-std::uint16_t peer_network::Start(std::string& problem) {
+std::uint16_t peer_network::Start(std::string& error_message) {
   std::uint16_t port = 0;
   if (state_->options.listen) {
-    port = state_->Listen(problem);
+    port = state_->Listen(error_message);
     if (port == 0) {
       return 0;
     }
@@ -243,10 +247,10 @@
   state_->connector.set_max_message_size(state_->options.max_message_bytes);
   state_->connector.set_tcp_post_init_handler(
       [state = state_.get()](const connection_hdl& handle) {
-        websocketpp::lib::error_code lookup;
+        websocketpp::lib::error_code lookup_error;
         const auto connection =
-            state->connector.get_con_from_hdl(handle, lookup);
-        if (!lookup) {
+            state->connector.get_con_from_hdl(handle, lookup_error);
+        if (!lookup_error) {
           boost::system::error_code ignored;
           connection->get_raw_socket().set_option(
               boost::asio::ip::tcp::no_delay(true), ignored);
@@ -260,14 +264,14 @@
 
 std::uint64_t peer_network::Open(const std::string& uri) {
   const std::uint64_t link = ++state_->last_outbound;
-  state_->out[link].uri = uri;
+  state_->outbound_links[link].uri = uri;
   state_->Connect(link);
   return link;
 }
 
 void peer_network::Drop(std::uint64_t link) {
-  const auto found = state_->out.find(link);
-  if (found == state_->out.end()) {
+  const auto found = state_->outbound_links.find(link);
+  if (found == state_->outbound_links.end()) {
     return;
   }
   if (found->second.open) {
@@ -276,21 +280,21 @@
                             websocketpp::close::status::going_away, "",
                             ignored);
   }
-  state_->out.erase(found);
+  state_->outbound_links.erase(found);
 }
 
 void peer_network::Send(std::uint64_t link, const std::string& bytes) {
   websocketpp::lib::error_code ec;
-  const auto outbound_link = state_->out.find(link);
-  if (outbound_link != state_->out.end()) {
+  const auto outbound_link = state_->outbound_links.find(link);
+  if (outbound_link != state_->outbound_links.end()) {
     if (!outbound_link->second.open) {
       return;
     }
     state_->connector.send(outbound_link->second.handle, bytes,
                            websocketpp::frame::opcode::binary, ec);
   } else {
-    const auto inbound_link = state_->in.find(link);
-    if (inbound_link == state_->in.end()) {
+    const auto inbound_link = state_->inbound_links.find(link);
+    if (inbound_link == state_->inbound_links.end()) {
       return;
     }
     state_->acceptor.send(inbound_link->second, bytes,
@@ -298,13 +302,13 @@
   }
   if (!ec) {
     ++state_->traffic.messages_sent;
-    state_->traffic.bytes_sent += bytes.size() + kOverheadBytes;
+    state_->traffic.bytes_sent += bytes.size() + kMessageOverheadBytes;
   }
 }
 
 void peer_network::Reopen(std::uint64_t link) {
-  const auto found = state_->out.find(link);
-  if (found == state_->out.end() || state_->stopped) {
+  const auto found = state_->outbound_links.find(link);
+  if (found == state_->outbound_links.end() || state_->stopped) {
     return;
   }
   // The old connection may never answer a close: it is left to its own
@@ -328,13 +332,13 @@
   if (state_->options.listen) {
     state_->acceptor.stop_listening(ignored);
   }
-  for (const auto& [link, entry] : state_->out) {
+  for (const auto& [link, entry] : state_->outbound_links) {
     if (entry.open) {
       state_->connector.close(
           entry.handle, websocketpp::close::status::going_away, "", ignored);
     }
   }
-  for (const auto& [link, handle] : state_->in) {
+  for (const auto& [link, handle] : state_->inbound_links) {
     state_->acceptor.close(handle, websocketpp::close::status::going_away, "",
                            ignored);
   }
--- a/src/peer/peer_network.h
+++ b/src/peer/peer_network.h
@@ -53,7 +53,7 @@
 
   /// Listens and begins to connect. Returns the port, or 0 if it does not
   /// listen; `problem` is set on failure.
-  std::uint16_t Start(std::string& problem);
+  std::uint16_t Start(std::string& error_message);
   /// Begins to keep one more link, to `uri`; returns its number.
   std::uint64_t Open(const std::string& uri);
   /// Closes an outbound link for good.
