--- a/src/control/control_node.h
+++ b/src/control/control_node.h
@@ -1,5 +1,5 @@
-// A control host: its part of the replicated log, the targets it hears of, and
-// the routers and control hosts it is linked with.
+// A control host: its member of the Raft group, its target registry, and its
+// links to routers and other control hosts.
 #pragma once
 
 #include <cstdint>
@@ -27,32 +27,33 @@
 
 struct control_options {
   daemon_id daemon;
-  /// Where control hosts are looked for first.
+  /// Control hosts to connect to besides the known members.
   std::vector<endpoint> seeds;
-  /// Data centres that may be taken out of service.
+  /// Data centres that an outage can be set for.
   std::vector<data_centre_id> data_centres;
   quorum::raft_options raft;
   link_options links;
-  /// Renewed targets are passed on this often; changes at once.
+  /// Interval between batches of renewed targets; changed targets are sent at
+  /// once.
   duration target_batch_interval = std::chrono::milliseconds(500);
-  /// A command that is not committed in this time has no clear outcome.
+  /// A command that is not committed within this time ends as `kUnknown`.
   duration command_timeout = std::chrono::seconds(2);
-  /// Least time between two messages about the others' load to a router; more
-  /// if there are many routers.
+  /// Minimum interval between load summaries; grows with the number of routers.
   duration min_load_interval = std::chrono::milliseconds(30);
   std::size_t routers_per_load_interval = 8;
-  /// A follower leaves it to the leader for this long to tell routers.
+  /// Followers wait this long before they send a new state to routers, so that
+  /// normally only the leader does.
   duration follower_update_delay = std::chrono::milliseconds(250);
-  /// The log is cut short after so many entries, or so many bytes of commands.
+  /// The log is compacted after this many entries or bytes of commands.
   std::size_t compact_entries = 64;
   std::size_t compact_bytes = 4 * 1024 * 1024;
 };
 
 /// Deterministic state machine over its ports.
 ///
-/// Invariants: a command is reported as done only once it is committed or was
-/// overtaken by what is committed; a read is answered only if nothing newer
-/// was acknowledged before it was asked.
+/// Invariants: a command is reported as done only once it, or a configuration
+/// of the same or a higher version, is committed; a read returns the state only
+/// if it includes everything acknowledged before the read was requested.
 class control_node : public i_control_commands {
  public:
   control_node(control_options options,
@@ -69,7 +70,8 @@
   void OnMessage(link_id link, const message& message, time_point now);
   void OnDurable(quorum::batch_number batch, time_point now);
   void SetSeeds(std::vector<endpoint> seeds, time_point now);
-  /// Must be called before a command, as commands carry no time.
+  /// Must be called before each `i_control_commands` call, as those take no
+  /// time.
   void SetTime(time_point now) { now_ = now; }
 
   // i_control_commands
@@ -94,11 +96,11 @@
     introduction last_introduction;
     time_point last_seen;
     bool is_router = false;
-    /// It reports its load here.
+    /// The peer has sent a load report on this link.
     bool reports_load = false;
-    /// Contents of this revision are on their way.
+    /// Last revision whose contents were sent on this link.
     state_revision sent_revision;
-    /// Contents may be sent from this time on.
+    /// Contents are not sent before this time.
     time_point contents_due{};
   };
   struct pending_command {
@@ -135,7 +137,7 @@
   void UpdateLinks();
   [[nodiscard]] introduction MakeIntroduction() const;
 
-  // News for routers and other control hosts (control_news.cc).
+  // Updates to routers and other control hosts (control_updates.cc).
   void ScheduleStateUpdates();
   void SendStateUpdate(link_id link, inbound_peer& router);
   void SendDueStateUpdates();
@@ -158,12 +160,13 @@
   time_point now_;
 
   std::map<link_id, inbound_peer> inbound_;
-  /// When each router was last heard.
+  /// Time of the last introduction from each router.
   std::map<daemon_id, time_point> routers_;
   std::map<quorum::log_index, pending_command> pending_commands_;
   std::map<quorum::read_id, pending_read> pending_reads_;
   quorum::read_id last_read_;
-  /// Renewed since the last batch: true if heard here.
+  /// Targets renewed since the last batch; true if the announcement was
+  /// received by this host and not from another control host.
   std::map<target_id, bool> renewed_targets_;
 
   std::size_t entries_since_compaction_ = 0;
@@ -172,7 +175,7 @@
   time_point next_target_batch_;
   time_point next_join_request_;
   time_point next_state_send_ = kNever;
-  // What was last made known through the port.
+  // Last values reported through `port_`.
   quorum::raft_role reported_role_ = quorum::raft_role::kFollower;
   quorum::member_id reported_leader_;
   quorum::membership reported_members_;
--- a/src/control/i_control_commands.h
+++ b/src/control/i_control_commands.h
@@ -1,4 +1,4 @@
-// Port: what operators and targets ask of a control host.
+// Port: requests of operators and targets to a control host.
 #pragma once
 
 #include <cstdint>
@@ -15,11 +15,11 @@
 
 enum class command_status {
   kDone,
-  /// Another host decides; `leader` says which if known.
+  /// This host is not the leader; `leader` is set if known.
   kNotLeader,
-  /// It may or may not take effect; to be sent again.
+  /// The command may or may not take effect; the caller should retry.
   kUnknown,
-  /// There is no such data centre.
+  /// The data centre is not configured.
   kNoSuchPlace,
 };
 
@@ -39,10 +39,10 @@
 
 struct command_outcome {
   command_status status = command_status::kUnknown;
-  /// Where commands are taken instead.
+  /// Command endpoint of the leader.
   std::optional<endpoint> leader;
-  /// Of a read that is done: the configuration as it was given; empty if there
-  /// is none.
+  /// After a successful read: the configuration as it was submitted; empty if
+  /// there is none.
   std::string document;
 };
 
@@ -54,19 +54,21 @@
  public:
   virtual ~i_control_commands() = default;
 
-  /// Puts a valid configuration in force unless a higher version is.
+  /// Replaces the configuration, which must be valid; has no effect if the
+  /// version is not higher than the current one.
   virtual void ReplaceConfiguration(std::uint64_t version,
                                     std::string document,
                                     command_done done) = 0;
-  /// Reads the newest configuration.
+  /// Linearizable read of the configuration.
   virtual void ReadConfiguration(command_done done) = 0;
   /// Takes a data centre out of service, or back in.
   virtual void SetOutage(const data_centre_id& data_centre,
                          bool out,
                          command_done done) = 0;
-  /// A target has announced itself.
+  /// Handles an announcement from a target.
   virtual void Announce(const targets::announcement& announcement) = 0;
-  /// A target has said that it goes; `life` if it has said which one.
+  /// Handles the deregistration of a target; `life` is its incarnation, if
+  /// given.
   virtual void Withdraw(const target_id& target,
                         std::optional<incarnation> life) = 0;
 };
--- a/src/control/i_control_port.h
+++ b/src/control/i_control_port.h
@@ -1,4 +1,4 @@
-// Port: what a control node needs beside links.
+// Port: storage and reporting for a control node.
 #pragma once
 
 #include <string>
@@ -16,11 +16,12 @@
  public:
   virtual ~i_control_port() = default;
 
-  /// Writes records; `control_node::OnDurable` follows.
+  /// Starts to write the records; `control_node::OnDurable` is called once they
+  /// are durable.
   virtual void Store(quorum::batch_number batch,
                      std::vector<quorum::storage_record> records) = 0;
 
-  // For the log and metrics.
+  // Notifications for logging and metrics.
   virtual void OnRole(quorum::raft_role role,
                       quorum::term_number term,
                       const quorum::member_id& leader) = 0;
--- a/src/control/i_link_port.h
+++ b/src/control/i_link_port.h
@@ -7,19 +7,19 @@
 
 namespace burdocklock::control {
 
-/// A link between two daemons, as this process numbers it.
+/// Link to another daemon; numbered per process.
 using link_id = strong_type<struct control_link_id_tag, std::uint64_t>;
 
 class i_link_port {
  public:
   virtual ~i_link_port() = default;
 
-  /// Begins to connect; the link is kept, with new connections, until closed.
+  /// Starts to connect. Lost connections are re-established until `Close`.
   virtual link_id Open(const endpoint& peer) = 0;
-  /// Gives a silent connection up and connects anew.
+  /// Abandons an unresponsive connection and reconnects.
   virtual void Reopen(link_id link) = 0;
   virtual void Close(link_id link) = 0;
-  /// Sends, or drops the message if the link is down.
+  /// Sends the message, or drops it if the link is down.
   virtual void Send(link_id link, const message& message) = 0;
 };
 
--- a/src/control/i_router_view.h
+++ b/src/control/i_router_view.h
@@ -1,4 +1,4 @@
-// Port: what a router learns from the control hosts.
+// Port: receives what control hosts send to a router.
 #pragma once
 
 #include <set>
@@ -16,18 +16,18 @@
  public:
   virtual ~i_router_view() = default;
 
-  /// The operators' state has changed; `current` if the control host that told
-  /// it was certain of it.
+  /// The operator state has changed; `current` if the sending control host
+  /// confirmed that it is the newest.
   virtual void OnState(state_revision revision,
                        const state_contents& contents,
                        bool current) = 0;
   virtual void OnTarget(const targets::announcement& announcement,
                         time_point last_seen) = 0;
-  /// The routers that share the targets.
+  /// The set of routers that share the targets has changed.
   virtual void OnRouters(const std::vector<daemon_id>& routers) = 0;
-  /// The load of all other routers, as of their last reports.
+  /// Summed load of all other routers, from their last reports.
   virtual void OnOthersLoad(const admission::fleet_load& others) = 0;
-  /// The first control host was heard, or the last one was lost.
+  /// Contact with the control hosts was gained or lost.
   virtual void OnContact(bool in_contact) = 0;
 };
 
--- a/src/control/internal/control_commands.cc
+++ b/src/control/internal/control_commands.cc
@@ -1,4 +1,4 @@
-// Operators' commands at a control node.
+// Operator commands and reads of `control_node`.
 #include <algorithm>
 #include <utility>
 
@@ -37,7 +37,8 @@
         std::move(done));
     return;
   }
-  // Overtaken: nothing changes, but this host must be sure of what it holds.
+  // Nothing to change, but the read confirms that this host's version is
+  // committed and current before the command is acknowledged.
   ReadConfiguration([done = std::move(done)](const command_outcome& read) {
     done({.status = read.status, .leader = read.leader});
   });
@@ -56,7 +57,7 @@
 
 void control_node::ReadConfiguration(command_done done) {
   last_read_ = quorum::read_id(last_read_.value() + 1);
-  // Before the request, as the answer may come at once.
+  // Registered before the request, as the result may be available at once.
   pending_reads_[last_read_] = {.deadline = now_ + options_.command_timeout,
                                 .done = std::move(done)};
   if (!raft_.RequestRead(last_read_, now_)) {
--- a/src/control/internal/control_node.cc
+++ b/src/control/internal/control_node.cc
@@ -1,5 +1,5 @@
-// Links and replication. See the header; commands are in control_commands.cc,
-// what routers are told in control_news.cc.
+// Links and replication. Commands are in control_commands.cc, updates to
+// routers in control_updates.cc.
 #include "control/control_node.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kJoinRequestInterval{400};
-// A router silent for this time no longer counts.
+// Peers without an introduction for this time are removed.
 constexpr std::chrono::seconds kPeerTimeout{8};
 
 }  // namespace
@@ -122,7 +122,7 @@
 
 void control_node::Handle(link_id link, const introduction& m) {
   if (links_.Owns(link)) {
-    // The answer to an own introduction; hearing it was all that mattered.
+    // Reply to this host's own introduction; only keeps the link alive.
     return;
   }
   const auto [found, added] = inbound_.try_emplace(link);
@@ -142,7 +142,7 @@
 }
 
 void control_node::Handle(link_id, const state_update&) {
-  // For routers only.
+  // Sent to routers only.
 }
 
 void control_node::Handle(link_id, const target_update& m) {
@@ -158,7 +158,8 @@
       renewed_targets_.try_emplace(target.announced.target, false);
     }
   }
-  // Routers that the first hearer does not reach must know too.
+  // Forwarded, as some routers may not be linked with the host that received
+  // the announcement first.
   if (!changed.empty()) {
     SendTargetsToRouters(changed);
   }
@@ -171,7 +172,7 @@
 }
 
 void control_node::Handle(link_id, const load_summary&) {
-  // For routers only.
+  // Sent to routers only.
 }
 
 void control_node::ProcessRaftOutput() {
@@ -272,7 +273,8 @@
       return;
     }
   }
-  // A member that this host does not know yet is answered where it came in.
+  // There is no outbound link to a member that this host doesn't know yet;
+  // reply on the inbound one.
   for (const auto& [link, peer] : inbound_) {
     if (peer.last_introduction.member &&
         peer.last_introduction.member->id == message.to) {
--- a/src/control/internal/control_updates.cc
+++ b/src/control/internal/control_updates.cc
@@ -1,5 +1,5 @@
-// What a control host tells routers and other control hosts: the operators'
-// state, targets, and the load of all routers.
+// Updates that a control host sends to routers and other control hosts:
+// operator state, targets, and the load of routers.
 #include <algorithm>
 #include <utility>
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Targets heard longer ago than this are left out of the full list.
+// Targets not seen for this time are left out of the full list.
 constexpr std::chrono::seconds kMaxTargetAge{30};
 
 std::uint64_t AgeMs(time_point last_seen, time_point now) {
--- a/src/control/internal/link_set.cc
+++ b/src/control/internal/link_set.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "control/link_set.h"
 
 #include <algorithm>
--- a/src/control/internal/load_collector.cc
+++ b/src/control/internal/load_collector.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "control/load_collector.h"
 
 #include <chrono>
@@ -8,7 +7,7 @@
 
 namespace {
 
-// A router that has not reported for this time has no load that is known.
+// Reports older than this are ignored.
 constexpr std::chrono::milliseconds kMaxReportAge{1500};
 
 }  // namespace
--- a/src/control/internal/message_codec.cc
+++ b/src/control/internal/message_codec.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "control/message_codec.h"
 
 #include <cmath>
@@ -24,7 +23,7 @@
   j.at(2).get_to(l.unread_tokens);
 }
 
-// Whole tokens are exact enough and shorter.
+// Rounded to whole tokens, which is precise enough and encodes shorter.
 void to_json(json& j, const customer_flow& f) {
   j = json::array(
       {f.pool, f.customer, std::llround(f.asked), std::llround(f.begun)});
@@ -153,7 +152,7 @@
     j.at(1).get_to(m.others);
     return m;
   }
-  throw std::out_of_range("kind of message");
+  throw std::out_of_range("unknown message kind");
 }
 
 }  // namespace
--- a/src/control/internal/operator_state.cc
+++ b/src/control/internal/operator_state.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "control/operator_state.h"
 
 #include <exception>
@@ -36,7 +35,7 @@
     return set_outage{.data_centre = j.at(1).get<data_centre_id>(),
                       .out = j.at(2).get<bool>()};
   }
-  throw std::out_of_range("kind of command");
+  throw std::out_of_range("unknown command kind");
 }
 
 bool ApplyChange(const set_configuration& command, state_contents& contents) {
--- a/src/control/internal/router_client.cc
+++ b/src/control/internal/router_client.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "control/router_client.h"
 
 #include <utility>
@@ -26,7 +25,8 @@
   links_.ReopenIdleLinks(now);
   SendIntroductions();
   UpdateContact(now);
-  // Better an old state than none, if nobody can tell the newest.
+  // If no control host can confirm the newest state, an old one is better than
+  // none.
   const bool waited = now - started_ >= options_.unconfirmed_state_delay;
   if (applied_revision_ == state_revision() && candidate_ && waited) {
     ApplyState(candidate_->revision, candidate_->contents, false);
@@ -65,15 +65,15 @@
 }
 
 void router_client::Handle(const introduction&, time_point) {
-  // Control hosts introduce themselves to one another only.
+  // Control hosts send introductions to one another only.
 }
 
 void router_client::Handle(const quorum_envelope&, time_point) {
-  // Routers have no part in the log.
+  // Quorum messages are sent between control hosts only.
 }
 
 void router_client::Handle(const load_report&, time_point) {
-  // For control hosts only.
+  // Sent to control hosts only.
 }
 
 void router_client::Handle(const load_summary& m, time_point) {
@@ -106,8 +106,8 @@
     candidate_ = {
         .revision = m.revision, .contents = *m.contents, .since = now};
   }
-  // A committed state may be told by a host that is not certain that it is the
-  // newest; a router that holds an older one is better off with it.
+  // An unconfirmed state is still a committed one, so it is applied if the
+  // router has an older state.
   const bool accept = m.current || applied_revision_ != state_revision();
   if (accept && candidate_ && candidate_->revision == m.revision) {
     ApplyState(m.revision, candidate_->contents, m.current);
--- a/src/control/internal/target_registry.cc
+++ b/src/control/internal/target_registry.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "control/target_registry.h"
 
 #include <algorithm>
@@ -10,7 +9,8 @@
 
 namespace {
 
-// Longer than any announcement may be late.
+// Longer than any announcement can be delayed, so that a late one can't bring a
+// removed target back.
 constexpr std::chrono::minutes kRetention{2};
 
 bool IsStale(const announcement& known, const announcement& update) {
@@ -20,7 +20,7 @@
   return update.sequence <= known.sequence;
 }
 
-// Routers decide by these; the rest can wait for the next batch.
+// These fields affect routing decisions; other changes wait for the next batch.
 bool NeedsImmediateUpdate(const announcement& known,
                           const announcement& update) {
   const bool turned_cold =
--- a/src/control/link_set.h
+++ b/src/control/link_set.h
@@ -1,4 +1,4 @@
-// The links that a daemon keeps to control hosts.
+// Outbound links of a daemon to control hosts.
 #pragma once
 
 #include <map>
@@ -13,27 +13,27 @@
 
 struct link_options {
   duration heartbeat_interval = std::chrono::milliseconds(500);
-  /// A link silent for this time is given up and opened anew.
+  /// A link without incoming messages for this time is reopened.
   duration idle_timeout = std::chrono::milliseconds(1500);
 };
 
-/// Invariant: there is one link to each wanted address.
+/// Invariant: there is exactly one link to each peer in the set.
 class link_set {
  public:
   link_set(i_link_port& port, link_options options)
       : port_(port), options_(options) {}
 
-  /// Opens and closes links so that these addresses are served.
+  /// Opens links to new peers and closes those to removed ones.
   void SetPeers(const std::set<endpoint>& peers, time_point now);
   void OnUp(link_id link, time_point now);
   void OnDown(link_id link);
   void OnReceived(link_id link, time_point now);
-  /// Opens silent links anew.
+  /// Reopens links that have exceeded the idle timeout.
   void ReopenIdleLinks(time_point now);
 
   [[nodiscard]] bool Owns(link_id link) const;
   [[nodiscard]] bool IsUp(link_id link) const;
-  /// Something was heard on some link within the silence limit.
+  /// True if a message arrived on any link within the idle timeout.
   [[nodiscard]] bool AnyActive(time_point now) const;
   [[nodiscard]] std::vector<link_id> OpenLinks() const;
   [[nodiscard]] std::optional<link_id> FindLink(const endpoint& peer) const;
--- a/src/control/load_collector.h
+++ b/src/control/load_collector.h
@@ -1,4 +1,4 @@
-// Sums the load of all routers for each of them.
+// Aggregates load reports of routers.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
   void OnReport(const daemon_id& router,
                 admission::fleet_load load,
                 time_point now);
-  /// The sum over all routers but this one that have reported lately.
+  /// Sum over all other routers with a recent report.
   [[nodiscard]] admission::fleet_load LoadOfOthers(const daemon_id& router,
                                                    time_point now) const;
 
--- a/src/control/message_codec.h
+++ b/src/control/message_codec.h
@@ -1,4 +1,4 @@
-// CBOR form of control messages.
+// CBOR encoding of control messages.
 #pragma once
 
 #include <string>
@@ -9,8 +9,7 @@
 namespace burdocklock::control {
 
 std::string Encode(const message& message);
-/// Fails if the bytes are not a message; members that are not known are
-/// ignored.
+/// Fails if the bytes are not a message; unknown trailing elements are ignored.
 result<message> Decode(const std::string& bytes);
 
 }  // namespace burdocklock::control
--- a/src/control/operator_state.h
+++ b/src/control/operator_state.h
@@ -1,4 +1,4 @@
-// What operators have decided, as the replicated log builds it up.
+// State set by operators: the state machine of the replicated log.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace burdocklock::control {
 
-/// Takes effect if the version is higher than the one held.
+/// Takes effect only if the version is higher than the current one.
 struct set_configuration {
   std::uint64_t version = 0;
   std::string document;
@@ -26,21 +26,20 @@
 
 std::string EncodeCommand(const operator_command& command);
 
-/// Deterministic: the same commands in the same order build the same state.
+/// Deterministic: the same commands in the same order yield the same state.
 ///
-/// Invariant: the version never decreases, and the document held under a
-/// version never changes.
+/// Invariant: the version never decreases, and the document of a version never
+/// changes.
 class operator_state {
  public:
-  /// Applies the command at that position of the log; fails if the bytes are
-  /// not a command.
+  /// Applies the command at this log position; fails if it can't be decoded.
   result<void> Apply(state_revision position, const std::string& command);
-  /// Replaces everything by an encoded state.
+  /// Replaces the whole state by an encoded one.
   result<void> Restore(const std::string& encoded);
   [[nodiscard]] std::string Encode() const;
 
   [[nodiscard]] const state_contents& contents() const { return contents_; }
-  /// Position of the last command that changed something.
+  /// Log position of the last command that changed the state.
   [[nodiscard]] state_revision revision() const { return revision_; }
 
  private:
--- a/src/control/router_client.h
+++ b/src/control/router_client.h
@@ -1,4 +1,5 @@
-// A router's links to the control hosts, and what it holds of their state.
+// Router side of the control protocol: links to control hosts and the state
+// received from them.
 #pragma once
 
 #include <optional>
@@ -16,17 +17,17 @@
 
 struct router_client_options {
   daemon_id daemon;
-  /// Where control hosts are looked for first.
+  /// Control hosts to connect to besides those learned from state updates.
   std::vector<endpoint> seeds;
   link_options links;
-  /// A router that holds nothing takes a state of which no control host is
-  /// certain only after this time.
+  /// A router without a state waits this long after its start before it applies
+  /// one that no control host has confirmed as the newest.
   duration unconfirmed_state_delay = std::chrono::seconds(2);
 };
 
 /// Deterministic state machine over its ports.
 ///
-/// Invariant: the revision that the view is told never decreases.
+/// Invariant: the revisions passed to the view never decrease.
 class router_client {
  public:
   router_client(router_client_options options,
@@ -41,7 +42,8 @@
   void OnMessage(link_id link, const message& message, time_point now);
   void SetSeeds(std::vector<endpoint> seeds, time_point now);
 
-  /// Tells the other routers about this one's load; `OnOthersLoad` follows.
+  /// Sends this router's load to the collecting control host; its answer
+  /// arrives through `OnOthersLoad`.
   void ReportLoad(const admission::fleet_load& load);
   [[nodiscard]] state_revision applied_revision() const {
     return applied_revision_;
@@ -77,9 +79,10 @@
   time_point started_;
   time_point next_heartbeat_;
   state_revision applied_revision_;
-  /// Link to the host that collects the routers' load.
+  /// Link to the control host that collects load reports, the leader.
   std::optional<link_id> collector_;
-  /// The newest state that was told by a host not certain of it.
+  /// Newest received state that has not been applied yet, usually because the
+  /// sender could not confirm that it is current.
   std::optional<candidate> candidate_;
   std::set<endpoint> control_hosts_;
   std::vector<daemon_id> routers_;
--- a/src/control/target_registry.h
+++ b/src/control/target_registry.h
@@ -1,4 +1,5 @@
-// The targets that a control host has heard of, by itself or from others.
+// Targets known to a control host, from their own announcements or from other
+// control hosts.
 #pragma once
 
 #include <optional>
@@ -12,11 +13,11 @@
 namespace burdocklock::control {
 
 enum class registry_result {
-  /// Late or repeated; nothing has changed.
+  /// Outdated or duplicate announcement; ignored.
   kStale,
-  /// The target lives on as it was.
+  /// The target is still alive; nothing that routers depend on has changed.
   kRenewed,
-  /// Routers must hear of it at once.
+  /// Routers must be notified at once.
   kChanged,
 };
 
@@ -39,19 +40,21 @@
 
 /// Soft state, ordered by (incarnation, sequence) of each target.
 ///
-/// Invariant: what a target said earlier never replaces what it said later,
-/// and nothing follows after it has gone.
+/// Invariant: an older announcement never replaces a newer one, and after a
+/// withdrawal none of the same incarnation is accepted.
 class target_registry {
  public:
-  /// `heard` may lie in the past if another host heard it.
+  /// `last_seen` may lie in the past if the announcement was forwarded by
+  /// another control host.
   registry_result Update(const targets::announcement& announcement,
                          time_point last_seen);
-  /// The target has said that it goes; `life` if it has said which one. Returns
-  /// what others are to be told, or nullopt if it is not known or gone already.
+  /// Marks a target as withdrawn; `life` is its incarnation, if given. Returns
+  /// the announcement to forward, or nullopt if the target is unknown,
+  /// withdrawn already, or of another incarnation.
   std::optional<targets::announcement> Withdraw(const target_id& target,
                                                 std::optional<incarnation> life,
                                                 time_point now);
-  /// Forgets targets not heard for the retention period.
+  /// Removes targets not seen for the retention period.
   void Expire(time_point now);
 
   [[nodiscard]] std::vector<registry_entry> All() const;
--- a/src/control/tests/control_fixture.h
+++ b/src/control/tests/control_fixture.h
@@ -1,4 +1,5 @@
-// Control hosts and routers on virtual time, over links that can be cut.
+// Control hosts and routers in virtual time, on a simulated network whose links
+// can be cut.
 #pragma once
 
 #include <algorithm>
@@ -28,7 +29,7 @@
   return {.address = "10.0.0." + std::to_string(host), .port = 8785};
 }
 
-// Carries messages between daemons; a daemon is known by its number.
+// Carries messages between daemons, which are identified by index.
 class fake_network {
  public:
   struct connection {
@@ -260,7 +261,7 @@
   command_status Replace(std::size_t host,
                          std::uint64_t version,
                          const std::string& document) {
-    // The outcome may come long after this has returned.
+    // Shared, as the callback may run after this function has returned.
     const auto status =
         std::make_shared<command_status>(command_status::kUnknown);
     hosts[host]->SetTime(network.now);
--- a/src/control/tests/control_unittest.cc
+++ b/src/control/tests/control_unittest.cc
@@ -1,4 +1,5 @@
-// What operators and targets say, as routers and control hosts learn it.
+// Propagation of operator state, targets and load between control hosts and
+// routers.
 #include <chrono>
 #include <cstdint>
 #include <string>
@@ -32,7 +33,7 @@
 }
 
 TEST_CASE_METHOD(control_fixture,
-                 "configuration: sent to a follower: the leader is named") {
+                 "configuration: sent to a follower: the leader is returned") {
   const std::size_t leader = Leader();
   command_outcome outcome;
   hosts[(leader + 1) % kHosts]->ReplaceConfiguration(
@@ -42,7 +43,7 @@
 }
 
 TEST_CASE_METHOD(control_fixture,
-                 "configuration: at a leader cut off: no clear outcome") {
+                 "configuration: at an isolated leader: outcome unknown") {
   const std::size_t old_leader = Leader();
   REQUIRE(Replace(old_leader, 5, "five") == command_status::kDone);
   Isolate(old_leader);
@@ -60,8 +61,8 @@
 }
 
 TEST_CASE_METHOD(control_fixture,
-                 "router: started anew beside a host that is behind: takes no "
-                 "old state while others can tell") {
+                 "router: restarted next to an outdated control host: applies "
+                 "no old state while others are current") {
   REQUIRE(Replace(Leader(), 5, "five") == command_status::kDone);
   const std::size_t behind = (Leader() + 1) % kHosts;
   for (std::size_t other = 0; other < kHosts; ++other) {
@@ -75,14 +76,15 @@
 }
 
 TEST_CASE_METHOD(control_fixture,
-                 "router: started anew while only an uncertain host is left: "
-                 "takes what it has after a while") {
+                 "router: restarted while no control host can confirm its "
+                 "state: applies it after a delay") {
   REQUIRE(Replace(Leader(), 5, "five") == command_status::kDone);
-  // Followers learn with the next heartbeat that it is committed.
+  // Followers learn of the commit with the next heartbeat.
   RunFor(milliseconds(500));
   Isolate((Leader() + 1) % kHosts);
   Isolate(Leader());
-  // Until then what it last heard from the leader is recent enough.
+  // Before that, the follower's last contact with the leader is recent enough
+  // to confirm its state.
   RunFor(seconds(1));
   StartRouter(0);
   RunFor(milliseconds(1500));
@@ -103,7 +105,7 @@
 }
 
 TEST_CASE_METHOD(control_fixture,
-                 "many configurations: log cut short, restart keeps the last") {
+                 "many configurations: log compacted, restart keeps the last") {
   for (std::uint64_t version = 1; version <= 150; ++version) {
     REQUIRE(Replace(Leader(), version, "v" + std::to_string(version)) ==
             command_status::kDone);
@@ -116,8 +118,7 @@
   CHECK(Read(Leader()).document == "v150");
 }
 
-TEST_CASE_METHOD(control_fixture,
-                 "outage: ordered and taken back: known to routers") {
+TEST_CASE_METHOD(control_fixture, "outage: set and cleared: sent to routers") {
   command_status status = command_status::kUnknown;
   const auto record_status = [&](const command_outcome& o) {
     status = o.status;
@@ -133,8 +134,9 @@
   CHECK(status == command_status::kNoSuchPlace);
 }
 
-TEST_CASE_METHOD(control_fixture,
-                 "target: leaves: routers told in 50 ms, late words ignored") {
+TEST_CASE_METHOD(
+    control_fixture,
+    "target: leaves: routers notified in 50 ms, late announcements ignored") {
   hosts[0]->SetTime(network.now);
   hosts[0]->Announce(MakeTarget(1, 7, targets::target_state::kReady));
   RunFor(milliseconds(50));
@@ -151,8 +153,9 @@
         targets::target_state::kLeaving);
 }
 
-TEST_CASE_METHOD(control_fixture,
-                 "target: gone, then started anew: only the new life counts") {
+TEST_CASE_METHOD(
+    control_fixture,
+    "target: withdrawn, then restarted: only new incarnation accepted") {
   hosts[0]->SetTime(network.now);
   hosts[0]->Announce(MakeTarget(1, 7, targets::target_state::kReady));
   RunFor(milliseconds(50));
@@ -171,7 +174,7 @@
 }
 
 TEST_CASE_METHOD(control_fixture,
-                 "load: reported by two routers: each learns the other's") {
+                 "load: reported by two routers: each receives the other's") {
   const auto load = [](std::uint32_t in_flight, double asked) {
     return admission::fleet_load{
         .targets = {{.target = target_id("t"), .in_flight = in_flight}},
@@ -192,7 +195,8 @@
   CHECK(views[0]->others.targets.empty());
 }
 
-TEST_CASE_METHOD(control_fixture, "routers: told of one another") {
+TEST_CASE_METHOD(control_fixture,
+                 "routers: learn of each other; isolated: contact lost") {
   RunFor(seconds(1));
   CHECK(views[0]->routers.size() == 2);
   CHECK(views[0]->connected);
--- a/src/control/types/message.h
+++ b/src/control/types/message.h
@@ -16,14 +16,14 @@
 
 namespace burdocklock::control {
 
-/// Position in the replicated log of the last change to the operators' state.
+/// Log position of the last change to the operator state.
 using state_revision = strong_type<struct state_revision_tag, std::uint64_t>;
 
-/// What operators have decided.
+/// State set by operators.
 struct state_contents {
   /// 0 if there is no configuration yet.
   std::uint64_t version = 0;
-  /// The configuration as it was given.
+  /// The configuration as it was submitted.
   std::string document;
   std::set<data_centre_id> out;
 
@@ -31,23 +31,25 @@
                          const state_contents&) = default;
 };
 
-/// First message on a link, repeated as a heartbeat and when `held` changes.
+/// First message on a link; repeated as a heartbeat, and by routers at once
+/// when `applied_revision` changes.
 struct introduction {
   daemon_id daemon;
-  /// Of a control host.
+  /// Set for control hosts only.
   std::optional<quorum::member> member;
-  /// Of a router: what it works with.
+  /// For routers: the revision in use.
   state_revision applied_revision;
 };
 
-/// Answers a router's introduction; also sent when the state has changed.
+/// Reply to a router's introduction; also sent when the state has changed.
 struct state_update {
   state_revision revision;
-  /// The sender is certain that it has missed nothing.
+  /// The sender has confirmed that its state is the newest.
   bool current = false;
-  /// The sender collects the routers' load.
+  /// The sender is the leader, which collects load reports.
   bool is_leader = false;
-  /// Absent if the router holds this revision.
+  /// Absent if the router has this revision already, or if the contents were
+  /// sent to it or are not due yet.
   std::optional<state_contents> contents;
   std::vector<endpoint> control_hosts;
   std::vector<daemon_id> routers;
@@ -55,7 +57,7 @@
 
 struct aged_announcement {
   targets::announcement announced;
-  /// Milliseconds since it was heard.
+  /// Milliseconds since the announcement was received.
   std::uint64_t age_ms = 0;
 };
 
@@ -65,18 +67,18 @@
 
 struct quorum_envelope {
   quorum::member_id from;
-  /// Empty for whoever listens there.
+  /// Empty if meant for whichever member receives it, as in join requests.
   quorum::member_id to;
   quorum::quorum_message contents;
 };
 
-/// What a router has sent to targets and is asked for.
+/// Load that a router has placed on targets, and the demand of its customers.
 struct load_report {
   daemon_id daemon;
   admission::fleet_load load;
 };
 
-/// Answers a report: the sum over all other routers.
+/// Reply to a load report: the sum over all other routers.
 struct load_summary {
   admission::fleet_load others;
 };
--- a/src/peer/internal/message_codec.cc
+++ b/src/peer/internal/message_codec.cc
@@ -1,4 +1,4 @@
-// See the header. Members have short names, as they travel every second.
+// Keys are short, as the messages are sent every second.
 #include "peer/message_codec.h"
 
 #include <exception>
@@ -13,7 +13,8 @@
 
 using nlohmann::json;
 
-// Conversions found by nlohmann::json through the types' own namespaces.
+// nlohmann::json finds conversions by argument-dependent lookup, so they are in
+// the namespaces of their types.
 
 namespace membership {
 
@@ -193,7 +194,7 @@
     case 2:
       return body.get<allocation::grant_table>();
     default:
-      throw std::out_of_range("unknown kind of message");
+      throw std::out_of_range("unknown message kind");
   }
 }
 
@@ -209,8 +210,8 @@
 }
 
 result<fleet::message> Decode(std::string_view bytes) {
-  // nlohmann::json reports missing and wrong members by exception, and sizes
-  // beyond all bounds even where it is told not to throw.
+  // nlohmann::json throws on missing and invalid members, and on excessive
+  // sizes even if exceptions are disabled.
   try {
     const json document = json::from_cbor(bytes, /*strict=*/true,
                                           /*allow_exceptions=*/false);
@@ -218,7 +219,7 @@
       return Malformed("not a CBOR map");
     }
     if (document.at(kVersionKey).get<int>() != kProtocolVersion) {
-      return Malformed("another protocol version");
+      return Malformed("unsupported protocol version");
     }
     return DecodeBody(document.at(kKindKey).get<std::size_t>(),
                       document.at(kBodyKey));
--- a/src/peer/internal/peer_network.cc
+++ b/src/peer/internal/peer_network.cc
@@ -1,4 +1,4 @@
-// See the header. Compiled as C++17.
+// Compiled as C++17; see peer_network.h.
 #include "peer/peer_network.h"
 
 #include <map>
@@ -20,8 +20,8 @@
 using websocketpp::connection_hdl;
 
 constexpr std::uint64_t kFirstInboundLink = 1'000'000;
-// What a message costs on the wire beside its payload: TCP/IP headers and the
-// WebSocket frame.
+// Bytes on the wire per message besides the payload: TCP/IP headers and the
+// WebSocket frame header.
 constexpr std::size_t kMessageOverheadBytes = 52 + 8;
 
 }  // namespace
@@ -38,7 +38,8 @@
     std::string uri;
     connection_hdl handle;
     bool open = false;
-    // Events of earlier connections of this link are ignored.
+    // Incremented on each connection attempt; events of earlier ones are
+    // ignored.
     std::uint64_t generation = 0;
   };
 
@@ -311,8 +312,8 @@
   if (found == state_->outbound_links.end() || state_->stopped) {
     return;
   }
-  // The old connection may never answer a close: it is left to its own
-  // time-outs, and its events are ignored from here on.
+  // The peer may never answer the close: the old connection is left to its own
+  // timeouts, and its events are ignored from here on.
   const connection_hdl old = found->second.handle;
   const bool was_open = found->second.open;
   state_->Connect(link);
--- a/src/peer/message_codec.h
+++ b/src/peer/message_codec.h
@@ -1,4 +1,4 @@
-// CBOR form of the messages between daemons.
+// CBOR encoding of the messages between daemons.
 #pragma once
 
 #include <string>
@@ -9,11 +9,11 @@
 
 namespace burdocklock::peer {
 
-/// First member of each message; a peer with another version is not understood.
+/// Sent with each message; messages of another version are rejected.
 inline constexpr int kProtocolVersion = 1;
 
 std::string Encode(const fleet::message& message);
-/// Unknown members are ignored; missing or wrong ones are an error.
+/// Unknown members are ignored; missing or invalid ones are an error.
 result<fleet::message> Decode(std::string_view bytes);
 
 }  // namespace burdocklock::peer
--- a/src/peer/peer_network.h
+++ b/src/peer/peer_network.h
@@ -1,5 +1,5 @@
-// WebSocket links between daemons (websocketpp). Plain interface, so that the
-// library, which does not compile as C++20, stays behind it.
+// WebSocket links between daemons. The interface hides websocketpp, which
+// doesn't compile as C++20.
 #pragma once
 
 #include <cstdint>
@@ -15,23 +15,24 @@
 namespace burdocklock::peer {
 
 struct peer_options {
-  /// Address to listen on; port 0 takes a free one.
+  /// Address to listen on; port 0 selects a free port.
   std::string listen_address = "127.0.0.1";
   std::uint16_t listen_port = 0;
-  /// URIs ("ws://ip:port") to keep links to; link i goes to entry i - 1.
+  /// URIs ("ws://ip:port") to connect to at startup; link i goes to
+  /// `peers[i - 1]`.
   std::vector<std::string> peers;
   std::size_t max_message_bytes = 1024 * 1024;
   std::uint32_t reconnect_ms = 500;
-  /// False for daemons that only open links.
+  /// False for daemons that accept no inbound links.
   bool listen = true;
 };
 
 struct peer_handlers {
-  /// An outbound link is open.
+  /// An outbound link has been opened.
   std::function<void(std::uint64_t link)> on_up;
-  /// A binary message arrived. False closes the link.
+  /// A message was received. Returning false closes the connection.
   std::function<bool(std::uint64_t link, const std::string& bytes)> on_message;
-  /// A link failed or was closed; `detail` is for the log.
+  /// An open link failed or was closed; `detail` is for logging.
   std::function<void(std::uint64_t link, const std::string& detail)> on_down;
 };
 
@@ -51,17 +52,18 @@
                peer_handlers handlers);
   ~peer_network();
 
-  /// Listens and begins to connect. Returns the port, or 0 if it does not
-  /// listen; `problem` is set on failure.
+  /// Starts to listen and connect. Returns the port, or 0 if it doesn't listen;
+  /// `error_message` is set on failure.
   std::uint16_t Start(std::string& error_message);
-  /// Begins to keep one more link, to `uri`; returns its number.
+  /// Adds an outbound link to `uri`, which is reconnected when lost; returns
+  /// its number.
   std::uint64_t Open(const std::string& uri);
-  /// Closes an outbound link for good.
+  /// Closes and removes an outbound link.
   void Drop(std::uint64_t link);
   void Send(std::uint64_t link, const std::string& bytes);
-  /// Closes an outbound link and connects anew.
+  /// Closes the connection of an outbound link and reconnects.
   void Reopen(std::uint64_t link);
-  /// Closes everything; no handler is called afterwards.
+  /// Closes all links and stops listening; no handler is called afterwards.
   void Stop();
   [[nodiscard]] const peer_traffic& traffic() const;
 
--- a/src/peer/tests/peer_unittest.cc
+++ b/src/peer/tests/peer_unittest.cc
@@ -1,4 +1,4 @@
-// Codec of messages between daemons.
+// Encoding and decoding of messages between daemons.
 #include <string>
 
 #include <rapidcheck/catch.h>
@@ -82,7 +82,7 @@
   CHECK(std::get<fleet::hello>(greeting.value()).sender == Member());
 }
 
-TEST_CASE("codec: any bytes: an error, never fatal") {
+TEST_CASE("codec: arbitrary bytes: rejected without a crash") {
   rc::prop("no crash", [](const std::string& bytes) {
     RC_ASSERT(!Decode(bytes).has_value());
   });
@@ -102,7 +102,7 @@
   });
 }
 
-TEST_CASE("codec: map of a size beyond all bounds: refused") {
+TEST_CASE("codec: map of excessive size: rejected") {
   CHECK_FALSE(Decode("\xBB"
                      "aaaaaaaa")
                   .has_value());
