--- a/src/app/internal/command_call.cc
+++ b/src/app/internal/command_call.cc
@@ -38,7 +38,7 @@
   switch (outcome.status) {
     case command_status::kDone:
       return {};
-    case command_status::kNoSuchPlace:
+    case command_status::kUnknownDataCentre:
       return MakeProblem(http::status::not_found,
                          "there is no such data centre");
     case command_status::kNotLeader:
--- a/src/control/i_control_commands.h
+++ b/src/control/i_control_commands.h
@@ -20,7 +20,7 @@
   /// The command may or may not take effect; the caller should retry.
   kUnknown,
   /// The data centre is not configured.
-  kNoSuchPlace,
+  kUnknownDataCentre,
 };
 
 constexpr const char* ToString(command_status status) {
@@ -31,7 +31,7 @@
       return "not_leader";
     case command_status::kUnknown:
       return "unknown";
-    case command_status::kNoSuchPlace:
+    case command_status::kUnknownDataCentre:
       return "no_such_place";
   }
   return "unknown";
--- a/src/control/internal/control_commands.cc
+++ b/src/control/internal/control_commands.cc
@@ -49,7 +49,7 @@
                              command_done done) {
   const auto& known = options_.data_centres;
   if (std::find(known.begin(), known.end(), data_centre) == known.end()) {
-    done({.status = command_status::kNoSuchPlace});
+    done({.status = command_status::kUnknownDataCentre});
     return;
   }
   Propose(set_outage{.data_centre = data_centre, .out = out}, std::move(done));
--- a/src/control/tests/control_unittest.cc
+++ b/src/control/tests/control_unittest.cc
@@ -131,7 +131,7 @@
   RunFor(milliseconds(100));
   CHECK(views[1]->state.out.empty());
   hosts[Leader()]->SetOutage(data_centre_id("nowhere"), true, record_status);
-  CHECK(status == command_status::kNoSuchPlace);
+  CHECK(status == command_status::kUnknownDataCentre);
 }
 
 TEST_CASE_METHOD(
