--- a/src/app/internal/control_host.cc
+++ b/src/app/internal/control_host.cc
@@ -82,7 +82,7 @@
                const control::state_contents& contents) override;
   void OnTarget(const targets::announcement& announcement,
                 control::registry_result result) override;
-  void OnProblem(const error& problem) override;
+  void OnError(const error& problem) override;
 
   // gateway::i_operations
   [[nodiscard]] bool IsReady() const override { return !stopping; }
@@ -348,7 +348,7 @@
                  .Add("result", ToString(result)));
 }
 
-void control_host::state::OnProblem(const error& problem) {
+void control_host::state::OnError(const error& problem) {
   logger.Log(log_record("control_problem", log_level::kError)
                  .Add("detail", problem.Message()));
 }
--- a/src/control/i_control_port.h
+++ b/src/control/i_control_port.h
@@ -30,7 +30,7 @@
                        const state_contents& contents) = 0;
   virtual void OnTarget(const targets::announcement& announcement,
                         registry_result result) = 0;
-  virtual void OnProblem(const error& problem) = 0;
+  virtual void OnError(const error& problem) = 0;
 };
 
 }  // namespace burdocklock::control
--- a/src/control/internal/control_node.cc
+++ b/src/control/internal/control_node.cc
@@ -217,7 +217,7 @@
     CompleteCommand(entry);
   }
   if (!applied) {
-    port_.OnProblem(applied.error());
+    port_.OnError(applied.error());
   }
 }
 
--- a/src/control/tests/control_fixture.h
+++ b/src/control/tests/control_fixture.h
@@ -106,7 +106,7 @@
   void OnMembers(const quorum::membership&) override {}
   void OnState(state_revision, const state_contents&) override {}
   void OnTarget(const targets::announcement&, registry_result) override {}
-  void OnProblem(const error&) override { ++problems; }
+  void OnError(const error&) override { ++problems; }
 
   quorum::durable_state disk;
   std::deque<quorum::batch_number> stored;
