--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -256,7 +256,7 @@
   router_.SetOthersLoad(others, now_, *out_);
 }
 
-void operator_feed::OnContact(bool in_contact) {
+void operator_feed::OnContactChanged(bool in_contact) {
   in_contact_ = in_contact;
   logger_.Log(log_record(in_contact ? "control_regained" : "control_lost",
                          in_contact ? log_level::kInfo : log_level::kWarning));
--- a/src/app/internal/operator_feed.h
+++ b/src/app/internal/operator_feed.h
@@ -61,7 +61,7 @@
   void OnTarget(const targets::announcement& announcement,
                 time_point heard) override;
   void OnRouters(const std::vector<daemon_id>& routers) override;
-  void OnContact(bool in_contact) override;
+  void OnContactChanged(bool in_contact) override;
   void OnOthersLoad(const admission::fleet_load& others) override;
 
  private:
--- a/src/control/i_router_view.h
+++ b/src/control/i_router_view.h
@@ -28,7 +28,7 @@
   /// Summed load of all other routers, from their last reports.
   virtual void OnOthersLoad(const admission::fleet_load& others) = 0;
   /// Contact with the control hosts was gained or lost.
-  virtual void OnContact(bool in_contact) = 0;
+  virtual void OnContactChanged(bool in_contact) = 0;
 };
 
 }  // namespace burdocklock::control
--- a/src/control/internal/router_client.cc
+++ b/src/control/internal/router_client.cc
@@ -146,7 +146,7 @@
 void router_client::UpdateContact(time_point now) {
   const bool in_contact = links_.AnyActive(now);
   if (in_contact != std::exchange(in_contact_, in_contact)) {
-    view_.OnContact(in_contact);
+    view_.OnContactChanged(in_contact);
   }
 }
 
--- a/src/control/tests/control_fixture.h
+++ b/src/control/tests/control_fixture.h
@@ -126,7 +126,7 @@
     targets[announcement.target] = announcement;
   }
   void OnRouters(const std::vector<daemon_id>& ids) override { routers = ids; }
-  void OnContact(bool in_contact) override { connected = in_contact; }
+  void OnContactChanged(bool in_contact) override { connected = in_contact; }
   void OnOthersLoad(const admission::fleet_load& load) override {
     others = load;
   }
