--- a/src/app/internal/control_links.cc
+++ b/src/app/internal/control_links.cc
@@ -90,7 +90,7 @@
 }
 
 void control_links::Close(control::link_id link) {
-  boost::asio::post(io_, [this, link] { network_->Drop(link.value()); });
+  boost::asio::post(io_, [this, link] { network_->Close(link.value()); });
 }
 
 void control_links::Send(control::link_id link,
--- a/src/peer/internal/peer_network.cc
+++ b/src/peer/internal/peer_network.cc
@@ -270,7 +270,7 @@
   return link;
 }
 
-void peer_network::Drop(std::uint64_t link) {
+void peer_network::Close(std::uint64_t link) {
   const auto found = state_->outbound_links.find(link);
   if (found == state_->outbound_links.end()) {
     return;
--- a/src/peer/peer_network.h
+++ b/src/peer/peer_network.h
@@ -59,7 +59,7 @@
   /// its number.
   std::uint64_t Open(const std::string& uri);
   /// Closes and removes an outbound link.
-  void Drop(std::uint64_t link);
+  void Close(std::uint64_t link);
   void Send(std::uint64_t link, const std::string& bytes);
   /// Closes the connection of an outbound link and reconnects.
   void Reopen(std::uint64_t link);
