--- a/src/control/internal/operator_state.cc
+++ b/src/control/internal/operator_state.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "control/operator_state.h"
 
 #include <exception>
@@ -36,10 +35,10 @@
     return set_outage{.data_centre = j.at(1).get<data_centre_id>(),
                       .out = j.at(2).get<bool>()};
   }
-  throw std::out_of_range("kind of command");
+  throw std::out_of_range("unknown command kind");
 }
 
-bool Change(const set_configuration& command, state_contents& contents) {
+bool ApplyChange(const set_configuration& command, state_contents& contents) {
   if (command.version <= contents.version) {
     return false;
   }
@@ -48,7 +47,7 @@
   return true;
 }
 
-bool Change(const set_outage& command, state_contents& contents) {
+bool ApplyChange(const set_outage& command, state_contents& contents) {
   return command.out ? contents.out.insert(command.data_centre).second
                      : contents.out.erase(command.data_centre) > 0;
 }
@@ -73,7 +72,7 @@
                                    const std::string& command) {
   try {
     const bool changed = std::visit(
-        [this](const auto& value) { return Change(value, contents_); },
+        [this](const auto& value) { return ApplyChange(value, contents_); },
         DecodeCommand(command));
     if (changed) {
       revision_ = position;
