--- a/tools/engine/batch.cc
+++ b/tools/engine/batch.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "engine/batch.h"
 
 #include <algorithm>
@@ -16,11 +15,11 @@
       options_(options),
       cold_until_(steady_clock::now() + options.cold_time) {}
 
-void batch::Join(sequence& sequence, std::uint32_t uncached_tokens) {
+void batch::Add(sequence& sequence, std::uint32_t uncached_tokens) {
   sequences_.insert(&sequence);
   most_running_ = std::max(most_running_, sequences_.size());
   if (IsCold() && sequences_.size() > options_.cold_slots) {
-    FallOver();
+    FailAllSequences();
     return;
   }
   const double prefill_seconds = uncached_tokens / options_.prefill_rate;
@@ -34,11 +33,11 @@
   }
 }
 
-void batch::Leave(sequence& sequence) {
+void batch::Remove(sequence& sequence) {
   sequences_.erase(&sequence);
 }
 
-void batch::TurnCold() {
+void batch::StartColdPeriod() {
   cold_until_ = steady_clock::now() + options_.cold_time;
 }
 
@@ -50,10 +49,10 @@
   return steady_clock::now() < recovering_until_;
 }
 
-std::string batch::OtherRequest(const sequence& sequence) const {
+std::string batch::OtherRequestId(const sequence& sequence) const {
   for (const auto* other : sequences_) {
     if (other != &sequence) {
-      return other->request_name;
+      return other->request_id;
     }
   }
   return "another-0-1";
@@ -75,8 +74,8 @@
   stepping_ = false;
 }
 
-void batch::FallOver() {
-  ++falls_;
+void batch::FailAllSequences() {
+  ++overload_failures_;
   recovering_until_ = steady_clock::now() + options_.recovery;
   cold_until_ = recovering_until_ + options_.cold_time;
   for (sequence* sequence : sequences_) {
--- a/tools/engine/batch.h
+++ b/tools/engine/batch.h
@@ -1,5 +1,5 @@
-// Continuous batching of a stand-in engine: every step yields one token for
-// each running sequence, and takes longer the more sequences run.
+// Continuous batching of a simulated engine: each step yields one token for
+// every running sequence, and the step time grows with their number.
 #pragma once
 
 #include <cstdint>
@@ -22,16 +22,17 @@
   double prefill_rate = 20000;
   std::uint32_t cold_slots = 2;
   duration cold_time = std::chrono::seconds(5);
-  /// How much slower a cold engine steps.
+  /// Factor by which prefill and steps are slower while the engine is cold.
   double cold_factor = 4;
-  /// After a fall-over nothing is admitted for this time.
+  /// Time after an overload failure during which no request is admitted.
   duration recovery = std::chrono::seconds(1);
 };
 
-/// One request in the batch. Fibers wait on `changed`.
+/// One request in the batch. `changed` is set when `ready_tokens` or `failed`
+/// changes.
 struct sequence {
-  std::string request_name;
-  /// Its prompt has been computed.
+  std::string request_id;
+  /// Whether prefill has finished.
   bool decoding = false;
   std::uint32_t ready_tokens = 0;
   bool failed = false;
@@ -42,24 +43,26 @@
  public:
   batch(boost::asio::io_context& io, batch_options options);
 
-  /// Adds a sequence after `uncached_tokens` of prefill. A cold engine that
-  /// holds more than `cold_slots` falls over: all its sequences fail.
-  void Join(sequence& sequence, std::uint32_t uncached_tokens);
-  void Leave(sequence& sequence);
-  /// Becomes cold now.
-  void TurnCold();
+  /// Adds a sequence and blocks the calling fiber for the prefill of
+  /// `uncached_tokens`. More than `cold_slots` sequences overload a cold
+  /// engine: all its sequences fail.
+  void Add(sequence& sequence, std::uint32_t uncached_tokens);
+  void Remove(sequence& sequence);
+  void StartColdPeriod();
 
   [[nodiscard]] bool IsCold() const;
   [[nodiscard]] bool IsRecovering() const;
   [[nodiscard]] std::size_t running() const { return sequences_.size(); }
-  [[nodiscard]] std::uint32_t falls() const { return falls_; }
+  [[nodiscard]] std::uint32_t overload_failures() const {
+    return overload_failures_;
+  }
   [[nodiscard]] std::size_t most_running() const { return most_running_; }
-  /// Name of another running request; a made-up one if there is none.
-  [[nodiscard]] std::string OtherRequest(const sequence& sequence) const;
+  /// ID of another running request, or a fixed unknown ID if there is none.
+  [[nodiscard]] std::string OtherRequestId(const sequence& sequence) const;
 
  private:
   void StepLoop();
-  void FallOver();
+  void FailAllSequences();
 
   boost::asio::io_context& io_;
   batch_options options_;
@@ -67,7 +70,7 @@
   time_point recovering_until_{};
   std::unordered_set<sequence*> sequences_;
   bool stepping_ = false;
-  std::uint32_t falls_ = 0;
+  std::uint32_t overload_failures_ = 0;
   std::size_t most_running_ = 0;
 };
 
--- a/tools/engine/engine_handler.cc
+++ b/tools/engine/engine_handler.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "engine/engine_handler.h"
 
 #include <algorithm>
@@ -69,7 +68,7 @@
   return word.empty() ? "ok" : word;
 }
 
-ordered_json UsageOf(std::size_t prompt_bytes, std::uint32_t tokens) {
+ordered_json MakeUsage(std::size_t prompt_bytes, std::uint32_t tokens) {
   const auto prompt =
       static_cast<std::uint32_t>(prompt_bytes / prefix_cache::kBytesPerToken);
   return {{"prompt_tokens", prompt},
@@ -77,10 +76,10 @@
           {"total_tokens", prompt + tokens}};
 }
 
-std::string StreamEvent(const std::string& name,
-                        bool chat,
-                        const std::string& text) {
-  const std::string id = (chat ? "chatcmpl-" : "cmpl-") + name;
+std::string MakeTextEvent(const std::string& request_id,
+                          bool chat,
+                          const std::string& text) {
+  const std::string id = (chat ? "chatcmpl-" : "cmpl-") + request_id;
   ordered_json event = {
       {"id", id},
       {"object", chat ? "chat.completion.chunk" : "text_completion"}};
@@ -92,13 +91,13 @@
   return "data: " + event.dump() + "\n\n";
 }
 
-std::string UsageEvent(const std::string& name,
-                       std::size_t prompt_bytes,
-                       std::uint32_t tokens) {
-  const ordered_json event = {{"id", "chatcmpl-" + name},
+std::string MakeUsageEvent(const std::string& request_id,
+                           std::size_t prompt_bytes,
+                           std::uint32_t tokens) {
+  const ordered_json event = {{"id", "chatcmpl-" + request_id},
                               {"object", "chat.completion.chunk"},
                               {"choices", json::array()},
-                              {"usage", UsageOf(prompt_bytes, tokens)}};
+                              {"usage", MakeUsage(prompt_bytes, tokens)}};
   return "data: " + event.dump() + "\n\n";
 }
 
@@ -108,10 +107,10 @@
 }
 
 bool WriteStreamHead(net::http_connection& connection,
-                     const std::string& name) {
+                     const std::string& request_id) {
   http::response<http::empty_body> response(http::status::ok, 11);
   response.set(http::field::content_type, "text/event-stream");
-  response.set(kRequestIdField, name);
+  response.set(kRequestIdField, request_id);
   response.chunked(true);
   http::response_serializer<http::empty_body> serializer(response);
   const auto written =
@@ -119,26 +118,26 @@
   return !written.ec;
 }
 
-// The caller has closed its side.
+// Whether the client has closed its side of the connection.
 bool IsClosed(net::http_connection& connection) {
   char byte = 0;
   return ::recv(connection.stream.socket().native_handle(), &byte, 1,
                 MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-// Leaves a sequence's batch however its generation ends.
-class membership {
+// Removes a sequence from its batch on every exit path.
+class sequence_guard {
  public:
-  membership(batch& batch, sequence& sequence, std::size_t& active)
+  sequence_guard(batch& batch, sequence& sequence, std::size_t& active)
       : batch_(batch), sequence_(sequence), active_(active) {
     ++active_;
   }
-  ~membership() {
-    batch_.Leave(sequence_);
+  ~sequence_guard() {
+    batch_.Remove(sequence_);
     --active_;
   }
-  membership(const membership&) = delete;
-  membership& operator=(const membership&) = delete;
+  sequence_guard(const sequence_guard&) = delete;
+  sequence_guard& operator=(const sequence_guard&) = delete;
 
  private:
   batch& batch_;
@@ -174,15 +173,15 @@
 }
 
 bool engine_handler::ParseGeneration(const net::http_request& request,
-                                     generation& out) {
+                                     generation_request& out) {
   const json body = json::parse(request.body(), nullptr, false);
   if (!body.is_object()) {
     return false;
   }
-  out.request_name = request[kRequestIdField];
+  out.request_id = request[kRequestIdField];
   out.prompt =
       body.contains("messages") ? body["messages"].dump() : LastMessage(body);
-  out.word = FirstWord(LastMessage(body));
+  out.answer_word = FirstWord(LastMessage(body));
   out.max_tokens = std::min(body.value("max_tokens", 16U), kMaxTokens);
   out.streamed = body.value("stream", false);
   out.chat = request.target() == "/v1/chat/completions";
@@ -191,7 +190,7 @@
 
 net::keep_alive engine_handler::Generate(net::http_connection& connection,
                                          const net::http_request& request) {
-  generation generation;
+  generation_request generation;
   if (!ParseGeneration(request, generation)) {
     return Reply(connection, request, http::status::bad_request,
                  R"({"error":"malformed body"})");
@@ -201,62 +200,64 @@
     return Reply(connection, request, http::status::service_unavailable,
                  R"({"error":"not admitted"})", /*admitted=*/false);
   }
-  ++begun_;
-  journal_.RequestBegun(generation.request_name);
+  ++started_;
+  journal_.RecordRequest(generation.request_id);
   if (fault == fault::kDie) {
-    Die();
+    ExitProcess();
   }
   if (fault == fault::kCold) {
-    batch_.TurnCold();
+    batch_.StartColdPeriod();
     cache_.Clear();
   }
   if (fault == fault::kHang) {
     HangUntilClosed(connection);
     return net::keep_alive::kNo;
   }
-  sequence sequence{.request_name = generation.request_name};
-  const membership in_batch(batch_, sequence, active_);
+  sequence sequence{.request_id = generation.request_id};
+  const sequence_guard guard(batch_, sequence, active_);
   const std::uint32_t uncached = cache_.Use(generation.prompt);
   prompt_tokens_ += generation.prompt.size() / prefix_cache::kBytesPerToken;
   computed_tokens_ += uncached;
-  batch_.Join(sequence, uncached);
+  batch_.Add(sequence, uncached);
   return generation.streamed
-             ? Stream(connection, generation, fault, sequence)
-             : AnswerWhole(connection, generation, fault, sequence);
+             ? StreamCompletion(connection, generation, fault, sequence)
+             : SendCompletion(connection, generation, fault, sequence);
 }
 
-net::keep_alive engine_handler::Stream(net::http_connection& connection,
-                                       const generation& generation,
-                                       fault fault,
-                                       sequence& sequence) {
-  const std::string name = fault == fault::kCross
-                               ? batch_.OtherRequest(sequence)
-                               : generation.request_name;
+net::keep_alive engine_handler::StreamCompletion(
+    net::http_connection& connection,
+    const generation_request& generation,
+    fault fault,
+    sequence& sequence) {
+  const std::string request_id = fault == fault::kCross
+                                     ? batch_.OtherRequestId(sequence)
+                                     : generation.request_id;
   const std::string event =
-      StreamEvent(name, generation.chat, generation.word + " ");
-  const std::uint32_t middle = generation.max_tokens / 2;
-  bool ok = WriteStreamHead(connection, generation.request_name);
+      MakeTextEvent(request_id, generation.chat, generation.answer_word + " ");
+  const std::uint32_t fault_position = generation.max_tokens / 2;
+  bool ok = WriteStreamHead(connection, generation.request_id);
   std::uint32_t written = 0;
   while (ok && written < generation.max_tokens) {
     if (!AwaitToken(sequence, written + 1)) {
       return net::keep_alive::kNo;
     }
-    // Tokens that became ready while the last write took its time go together.
-    const std::uint32_t until =
+    // Tokens that became ready during the previous write are sent together.
+    const std::uint32_t available =
         std::min(sequence.ready_tokens, generation.max_tokens);
     std::string events;
-    for (; written < until; ++written) {
-      if (written == middle && fault == fault::kReset) {
+    for (; written < available; ++written) {
+      if (written == fault_position && fault == fault::kReset) {
         return net::keep_alive::kNo;
       }
-      if (written == middle && fault == fault::kStall) {
+      if (written == fault_position && fault == fault::kStall) {
         HangUntilClosed(connection);
         return net::keep_alive::kNo;
       }
-      events += written == middle && fault == fault::kCrossLate
-                    ? StreamEvent(batch_.OtherRequest(sequence),
-                                  generation.chat, generation.word + " ")
-                    : event;
+      events +=
+          written == fault_position && fault == fault::kCrossLate
+              ? MakeTextEvent(batch_.OtherRequestId(sequence), generation.chat,
+                              generation.answer_word + " ")
+              : event;
       ++output_tokens_;
     }
     ok = WriteChunk(connection, events);
@@ -265,18 +266,19 @@
     ++cancelled_;
     return net::keep_alive::kNo;
   }
-  const std::string tail =
-      UsageEvent(name, generation.prompt.size(), generation.max_tokens) +
-      "data: [DONE]\n\n";
+  const std::string tail = MakeUsageEvent(request_id, generation.prompt.size(),
+                                          generation.max_tokens) +
+                           "data: [DONE]\n\n";
   ok = WriteChunk(connection, tail);
   ok = ok && net::WriteBuffers(connection, http::make_chunk_last());
   return ok ? net::keep_alive::kYes : net::keep_alive::kNo;
 }
 
-net::keep_alive engine_handler::AnswerWhole(net::http_connection& connection,
-                                            const generation& generation,
-                                            fault fault,
-                                            sequence& sequence) {
+net::keep_alive engine_handler::SendCompletion(
+    net::http_connection& connection,
+    const generation_request& generation,
+    fault fault,
+    sequence& sequence) {
   std::string text;
   for (std::uint32_t i = 0; i < generation.max_tokens; ++i) {
     if (!AwaitToken(sequence, i + 1)) {
@@ -286,17 +288,18 @@
       ++cancelled_;
       return net::keep_alive::kNo;
     }
-    text += generation.word + " ";
+    text += generation.answer_word + " ";
     ++output_tokens_;
   }
   if (fault == fault::kReset || fault == fault::kStall) {
     return net::keep_alive::kNo;
   }
-  const std::string name = fault == fault::kCross || fault == fault::kCrossLate
-                               ? batch_.OtherRequest(sequence)
-                               : generation.request_name;
+  const std::string request_id =
+      fault == fault::kCross || fault == fault::kCrossLate
+          ? batch_.OtherRequestId(sequence)
+          : generation.request_id;
   ordered_json body = {
-      {"id", (generation.chat ? "chatcmpl-" : "cmpl-") + name},
+      {"id", (generation.chat ? "chatcmpl-" : "cmpl-") + request_id},
       {"object", generation.chat ? "chat.completion" : "text_completion"}};
   if (generation.chat) {
     body["choices"] = {{{"index", 0},
@@ -305,13 +308,13 @@
   } else {
     body["choices"] = {{{"index", 0}, {"text", text}}};
   }
-  body["usage"] = UsageOf(generation.prompt.size(), generation.max_tokens);
+  body["usage"] = MakeUsage(generation.prompt.size(), generation.max_tokens);
   net::http_response response(fault == fault::kError
                                   ? http::status::internal_server_error
                                   : http::status::ok,
                               11);
   response.set(http::field::content_type, kJson);
-  response.set(kRequestIdField, name);
+  response.set(kRequestIdField, request_id);
   response.body() = body.dump();
   return connection.Write(response) ? net::keep_alive::kYes
                                     : net::keep_alive::kNo;
@@ -330,7 +333,7 @@
   connection.stream.async_read_some(net::asio::buffer(&byte, 1), use_fiber);
 }
 
-void engine_handler::Die() const {
+void engine_handler::ExitProcess() const {
   std::_Exit(1);
 }
 
@@ -344,7 +347,7 @@
   if (request.target() == "/stand-in/fault" && body.is_object()) {
     const fault fault = stand_in::ParseFault(body.value("kind", ""));
     if (fault == fault::kCold) {
-      batch_.TurnCold();
+      batch_.StartColdPeriod();
       cache_.Clear();
     } else {
       faults_.Add(fault, body.value("count", 1U));
@@ -355,10 +358,10 @@
 }
 
 std::string engine_handler::Statistics() const {
-  return ordered_json{{"begun", begun_},
+  return ordered_json{{"begun", started_},
                       {"running", batch_.running()},
                       {"most_running", batch_.most_running()},
-                      {"falls", batch_.falls()},
+                      {"falls", batch_.overload_failures()},
                       {"cold", batch_.IsCold()},
                       {"cancelled", cancelled_},
                       {"prompt_tokens", prompt_tokens_},
--- a/tools/engine/engine_handler.h
+++ b/tools/engine/engine_handler.h
@@ -1,4 +1,4 @@
-// HTTP interface of the stand-in engine.
+// HTTP interface of the simulated engine.
 #pragma once
 
 #include <cstdint>
@@ -27,37 +27,37 @@
                          net::http_request& request) override;
   void OnBadRequest(net::http_connection&, error_code) override {}
 
-  /// Generations that were admitted and have not ended.
+  /// Number of admitted generation requests in progress.
   [[nodiscard]] std::size_t active() const { return active_; }
 
  private:
-  struct generation {
-    std::string request_name;
+  struct generation_request {
+    std::string request_id;
     std::string prompt;
-    /// First word of the last message; repeated as the answer.
-    std::string word;
+    /// First word of the last message; the generated text repeats it.
+    std::string answer_word;
     std::uint32_t max_tokens = 16;
     bool streamed = false;
     bool chat = true;
   };
 
   static bool ParseGeneration(const net::http_request& request,
-                              generation& out);
+                              generation_request& out);
   net::keep_alive Generate(net::http_connection& connection,
                            const net::http_request& request);
-  net::keep_alive Stream(net::http_connection& connection,
-                         const generation& generation,
-                         stand_in::fault fault,
-                         sequence& sequence);
-  net::keep_alive AnswerWhole(net::http_connection& connection,
-                              const generation& generation,
-                              stand_in::fault fault,
-                              sequence& sequence);
+  net::keep_alive StreamCompletion(net::http_connection& connection,
+                                   const generation_request& generation,
+                                   stand_in::fault fault,
+                                   sequence& sequence);
+  net::keep_alive SendCompletion(net::http_connection& connection,
+                                 const generation_request& generation,
+                                 stand_in::fault fault,
+                                 sequence& sequence);
   bool AwaitToken(sequence& sequence, std::uint32_t count) const;
   net::keep_alive HandleStandIn(net::http_connection& connection,
                                 const net::http_request& request);
   std::string Statistics() const;
-  [[noreturn]] void Die() const;
+  [[noreturn]] void ExitProcess() const;
   void HangUntilClosed(net::http_connection& connection) const;
 
   boost::asio::io_context& io_;
@@ -70,7 +70,7 @@
   std::uint64_t computed_tokens_ = 0;
   std::uint64_t output_tokens_ = 0;
   std::uint64_t cancelled_ = 0;
-  std::uint64_t begun_ = 0;
+  std::uint64_t started_ = 0;
 };
 
 }  // namespace burdocklock::engine
--- a/tools/engine/main.cc
+++ b/tools/engine/main.cc
@@ -1,5 +1,5 @@
-// Stand-in for a model engine: speaks the OpenAI-style protocol, announces
-// itself and shows faults on request.
+// Simulated model engine: implements an OpenAI-compatible API, announces itself
+// and injects faults on request.
 #include <chrono>
 #include <string>
 
@@ -39,7 +39,7 @@
       .description = {{"kind", "engine"},
                       {"models", stand_in::SplitList(options.models)},
                       {"fencing", options.fencing}},
-      .active = [&] { return handler.active(); },
+      .active_requests = [&] { return handler.active(); },
       .load = [&]() -> nlohmann::json {
         return {{"running", batch.running()},
                 {"waiting", 0},
@@ -51,15 +51,18 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Stand-in model engine.");
+  CLI::App app("Simulated model engine.");
   engine_options options;
   stand_in::AddTargetOptions(app, options.target);
-  app.add_option("--models", options.models, "Models, separated by commas");
-  app.add_option("--fencing", options.fencing, "checks or ignores");
-  app.add_option("--step-us", options.step_us, "Step time in microseconds");
+  app.add_option("--models", options.models, "Comma-separated models");
+  app.add_option("--fencing", options.fencing,
+                 "Fencing behaviour: checks or ignores");
+  app.add_option("--step-us", options.step_us,
+                 "Base step time in microseconds");
   app.add_option("--step-per-sequence-us", options.step_per_sequence_us,
                  "Step time added by each sequence, in microseconds");
-  app.add_option("--cold-ms", options.cold_ms, "Length of the cold start");
+  app.add_option("--cold-ms", options.cold_ms,
+                 "Duration of the cold start in milliseconds");
   app.add_option("--cache-blocks", options.cache_blocks,
                  "Prefix cache size in blocks");
   CLI11_PARSE(app, argc, argv);
--- a/tools/engine/prefix_cache.cc
+++ b/tools/engine/prefix_cache.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "engine/prefix_cache.h"
 
 #include <boost/container_hash/hash.hpp>
@@ -6,14 +5,15 @@
 namespace burdocklock::engine {
 
 std::uint32_t prefix_cache::Use(std::string_view prompt) {
-  std::size_t chain = 0;
+  std::size_t prefix_hash = 0;
   std::size_t computed = 0;
   bool in_prefix = true;
-  for (std::size_t at = 0; at < prompt.size(); at += kBlockBytes) {
-    const std::string_view block = prompt.substr(at, kBlockBytes);
-    // A block is only equal if all blocks before it are.
-    boost::hash_combine(chain, std::hash<std::string_view>{}(block));
-    const bool cached = Touch(chain);
+  for (std::size_t offset = 0; offset < prompt.size(); offset += kBlockBytes) {
+    const std::string_view block = prompt.substr(offset, kBlockBytes);
+    // The key of a block covers all preceding blocks, so only equal prefixes
+    // match.
+    boost::hash_combine(prefix_hash, std::hash<std::string_view>{}(block));
+    const bool cached = Insert(prefix_hash);
     in_prefix = in_prefix && cached;
     computed += in_prefix ? 0 : block.size();
   }
@@ -27,25 +27,25 @@
 }
 
 void prefix_cache::Clear() {
-  recent_.clear();
+  lru_list_.clear();
   blocks_.clear();
 }
 
-bool prefix_cache::Touch(std::size_t block) {
+bool prefix_cache::Insert(std::size_t block) {
   const auto found = blocks_.find(block);
   if (found != blocks_.end()) {
-    recent_.splice(recent_.begin(), recent_, found->second);
+    lru_list_.splice(lru_list_.begin(), lru_list_, found->second);
     return true;
   }
   if (max_blocks_ == 0) {
     return false;
   }
   if (blocks_.size() == max_blocks_) {
-    blocks_.erase(recent_.back());
-    recent_.pop_back();
+    blocks_.erase(lru_list_.back());
+    lru_list_.pop_back();
   }
-  recent_.push_front(block);
-  blocks_.emplace(block, recent_.begin());
+  lru_list_.push_front(block);
+  blocks_.emplace(block, lru_list_.begin());
   return false;
 }
 
--- a/tools/engine/prefix_cache.h
+++ b/tools/engine/prefix_cache.h
@@ -1,5 +1,5 @@
-// Prefix cache of a stand-in engine: remembers prompt blocks in limited memory
-// and forgets the least recently used.
+// Prefix cache of a simulated engine: holds a limited number of prompt blocks
+// and evicts the least recently used.
 #pragma once
 
 #include <cstddef>
@@ -17,18 +17,19 @@
 
   explicit prefix_cache(std::size_t max_blocks) : max_blocks_(max_blocks) {}
 
-  /// Number of tokens of `prompt` that must be computed; its blocks are in the
-  /// cache afterwards.
+  /// Returns the number of tokens of `prompt` that are not cached, and inserts
+  /// its blocks.
   std::uint32_t Use(std::string_view prompt);
-  /// Share of the memory in use.
+  /// Fraction of the capacity in use.
   [[nodiscard]] double Used() const;
   void Clear();
 
  private:
-  bool Touch(std::size_t block);
+  /// Marks a block as most recently used and returns whether it was present.
+  bool Insert(std::size_t block);
 
   std::size_t max_blocks_;
-  std::list<std::size_t> recent_;
+  std::list<std::size_t> lru_list_;
   std::unordered_map<std::size_t, std::list<std::size_t>::iterator> blocks_;
 };
 
--- a/tools/load/caller.cc
+++ b/tools/load/caller.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "load/caller.h"
 
 #include <array>
--- a/tools/load/load_run.cc
+++ b/tools/load/load_run.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "load/load_run.h"
 
 #include <algorithm>
--- a/tools/service/main.cc
+++ b/tools/service/main.cc
@@ -1,5 +1,5 @@
-// Stand-in for a plain service: files orders, notes each one that it ran, and
-// serves certificates, which may be fetched as often as one likes.
+// Simulated HTTP service: executes orders, which it records in a
+// journal, and serves certificates, which are safe to fetch repeatedly.
 #include <cstdlib>
 #include <string>
 
@@ -24,17 +24,20 @@
 class service_handler : public net::i_http_handler {
  public:
   service_handler(boost::asio::io_context& io,
-                  duration work_time,
+                  duration processing_time,
                   stand_in::fault_plan& faults,
                   stand_in::journal& journal)
-      : io_(io), work_time_(work_time), faults_(faults), journal_(journal) {}
+      : io_(io),
+        processing_time_(processing_time),
+        faults_(faults),
+        journal_(journal) {}
 
   net::keep_alive Handle(net::http_connection& connection,
                          net::http_request& request) override {
     ++active_;
-    const net::keep_alive keep = Work(connection, request);
+    const net::keep_alive result = HandleRequest(connection, request);
     --active_;
-    return keep;
+    return result;
   }
 
   void OnBadRequest(net::http_connection&, error_code) override {}
@@ -42,18 +45,18 @@
   [[nodiscard]] std::size_t active() const { return active_; }
 
  private:
-  net::keep_alive Work(net::http_connection& connection,
-                       net::http_request& request) {
+  net::keep_alive HandleRequest(net::http_connection& connection,
+                                net::http_request& request) {
     const fault fault = faults_.Next();
     if (fault == fault::kNotAdmitted) {
       return Reply(connection, request, http::status::service_unavailable,
                    R"({"error":"not admitted"})", "no");
     }
-    journal_.RequestBegun(std::string(request[kRequestIdField]));
+    journal_.RecordRequest(std::string(request[kRequestIdField]));
     const bool is_order = request.method() == http::verb::post &&
                           request.target().starts_with("/orders");
     if (is_order) {
-      journal_.OrderRun(std::string(request["Idempotency-Key"]));
+      journal_.RecordOrder(std::string(request["Idempotency-Key"]));
     }
     if (fault == fault::kDie) {
       std::_Exit(1);
@@ -63,7 +66,7 @@
       connection.stream.async_read_some(net::asio::buffer(&byte, 1), use_fiber);
       return net::keep_alive::kNo;
     }
-    SleepFor(io_, work_time_);
+    SleepFor(io_, processing_time_);
     if (fault == fault::kReset) {
       return net::keep_alive::kNo;
     }
@@ -98,7 +101,7 @@
   }
 
   boost::asio::io_context& io_;
-  duration work_time_;
+  duration processing_time_;
   stand_in::fault_plan& faults_;
   stand_in::journal& journal_;
   std::size_t active_ = 0;
@@ -120,7 +123,7 @@
       .description = {{"kind", "service"},
                       {"service", options.service},
                       {"fencing", "ignores"}},
-      .active = [&] { return handler.active(); },
+      .active_requests = [&] { return handler.active(); },
       .load = [&]() -> nlohmann::json {
         return {{"running", handler.active()}, {"waiting", 0}, {"kv_used", 0}};
       }};
@@ -130,11 +133,12 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Stand-in plain service.");
+  CLI::App app("Simulated HTTP service.");
   service_options options;
   stand_in::AddTargetOptions(app, options.target);
   app.add_option("--service", options.service, "Service name");
-  app.add_option("--work-us", options.work_us, "Time that a call takes");
+  app.add_option("--work-us", options.work_us,
+                 "Processing time of a call in microseconds");
   CLI11_PARSE(app, argc, argv);
   return stand_in::RunOnFiberThread(
       [&](boost::asio::io_context& io) { return RunService(io, options); });
--- a/tools/stand_in/announcer.cc
+++ b/tools/stand_in/announcer.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "stand_in/announcer.h"
 
 #include <chrono>
@@ -45,7 +44,7 @@
   for (const std::string& part : SplitList(text)) {
     const std::optional<endpoint> parsed = ParseEndpoint(part);
     if (!parsed) {
-      std::cerr << "not an address of the form ip:port: " << part << '\n';
+      std::cerr << "invalid address, expected ip:port: " << part << '\n';
       std::exit(2);
     }
     endpoints.push_back(*parsed);
@@ -71,13 +70,13 @@
 
 void announcer::AnnounceOnce() {
   nlohmann::json body = describe_();
-  body["load"] = LaggedLoad();
+  body["load"] = DelayedLoad();
   if (options_.numbered) {
     body["sequence"] = ++sequence_;
   }
   const std::string text = body.dump();
   for (const endpoint& host : options_.entry_hosts) {
-    const std::uint32_t draw = ++sent_ * 7919 % kLossResolution;
+    const std::uint32_t draw = ++send_count_ * 7919 % kLossResolution;
     if (draw < options_.loss * kLossResolution) {
       continue;
     }
@@ -90,24 +89,26 @@
       request.body() = text;
       const auto reply = net::Fetch(self->io_, host, request, kAnnounceTimeout);
       if (reply && reply.value().status >= 400) {
-        std::cerr << "announcement refused: " << reply.value().body << '\n';
+        std::cerr << "entry host rejected the announcement: "
+                  << reply.value().body << '\n';
       }
     });
   }
 }
 
-nlohmann::json announcer::LaggedLoad() {
+nlohmann::json announcer::DelayedLoad() {
   const time_point now = std::chrono::steady_clock::now();
   nlohmann::json load = load_();
   load["at_ms"] = WallMilliseconds();
-  history_.emplace_back(now, std::move(load));
-  while (history_.size() > 1 && history_[1].first <= now - options_.load_lag) {
-    history_.pop_front();
+  load_history_.emplace_back(now, std::move(load));
+  while (load_history_.size() > 1 &&
+         load_history_[1].first <= now - options_.load_lag) {
+    load_history_.pop_front();
   }
-  nlohmann::json lagged = history_.front().second;
-  // Time of sending, which orders announcements.
-  lagged["at_ms"] = WallMilliseconds();
-  return lagged;
+  nlohmann::json delayed = load_history_.front().second;
+  // Entry hosts order announcements by the time of sending.
+  delayed["at_ms"] = WallMilliseconds();
+  return delayed;
 }
 
 }  // namespace burdocklock::stand_in
--- a/tools/stand_in/announcer.h
+++ b/tools/stand_in/announcer.h
@@ -1,4 +1,4 @@
-// Announces a stand-in target at entry hosts, as a real target would.
+// Periodically announces a simulated target to entry hosts.
 #pragma once
 
 #include <cstdint>
@@ -17,23 +17,25 @@
 namespace burdocklock::stand_in {
 
 struct announcer_options {
-  /// Entry hosts; each gets every announcement.
+  /// Every announcement is sent to each of these hosts.
   std::vector<endpoint> entry_hosts;
   std::string token;
   duration period = std::chrono::seconds(2);
-  /// Age of the load figures when they are sent.
+  /// Age of the reported load values at the time of sending.
   duration load_lag{};
-  /// Share of announcements that are lost on the way.
+  /// Fraction of announcements that are dropped instead of sent.
   double loss = 0;
-  /// Each announcement carries a number that rises, as control hosts ask for.
+  /// Adds an increasing sequence number to each announcement, as control hosts
+  /// require.
   bool numbered = false;
 };
 
-/// Held by shared pointer, as announcements under way outlive a stop.
+/// Must be owned by a shared pointer: announcements in flight keep the object
+/// alive after `Stop`.
 class announcer : public std::enable_shared_from_this<announcer> {
  public:
-  /// `describe` returns the announcement without its "load" member, `load`
-  /// the present load.
+  /// `describe` returns the announcement without its "load" member; `load`
+  /// returns the current load.
   announcer(boost::asio::io_context& io,
             announcer_options options,
             std::function<nlohmann::json()> describe,
@@ -41,19 +43,19 @@
 
   /// Announces until `Stop`; blocks the calling fiber.
   void Run();
-  /// Sends one announcement to every entry host now.
+  /// Sends one announcement to every entry host without waiting for replies.
   void AnnounceOnce();
   void Stop() { stopped_ = true; }
 
  private:
-  nlohmann::json LaggedLoad();
+  nlohmann::json DelayedLoad();
 
   boost::asio::io_context& io_;
   announcer_options options_;
   std::function<nlohmann::json()> describe_;
   std::function<nlohmann::json()> load_;
-  std::deque<std::pair<time_point, nlohmann::json>> history_;
-  std::uint32_t sent_ = 0;
+  std::deque<std::pair<time_point, nlohmann::json>> load_history_;
+  std::uint32_t send_count_ = 0;
   std::uint64_t sequence_ = 0;
   bool stopped_ = false;
 };
@@ -61,9 +63,9 @@
 /// Milliseconds since the Unix epoch.
 std::uint64_t WallMilliseconds();
 
-/// Splits "a,b,c"; empty parts are left out.
+/// Splits a comma-separated list and drops empty elements.
 std::vector<std::string> SplitList(const std::string& text);
-/// Parses addresses separated by commas; ends the program on a wrong one.
+/// Parses comma-separated addresses; exits with status 2 if one is invalid.
 std::vector<endpoint> ParseEndpoints(const std::string& text);
 
 }  // namespace burdocklock::stand_in
--- a/tools/stand_in/fault_plan.cc
+++ b/tools/stand_in/fault_plan.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "stand_in/fault_plan.h"
 
 #include <array>
@@ -7,7 +6,7 @@
 namespace burdocklock::stand_in {
 
 fault ParseFault(const std::string& name) {
-  static constexpr std::array<std::pair<const char*, fault>, 9> kNames = {{
+  static constexpr std::array<std::pair<const char*, fault>, 9> kFaultNames = {{
       {"hang", fault::kHang},
       {"reset", fault::kReset},
       {"cross", fault::kCross},
@@ -18,8 +17,8 @@
       {"error", fault::kError},
       {"not_admitted", fault::kNotAdmitted},
   }};
-  for (const auto& [known, value] : kNames) {
-    if (name == known) {
+  for (const auto& [fault_name, value] : kFaultNames) {
+    if (name == fault_name) {
       return value;
     }
   }
@@ -27,7 +26,7 @@
 }
 
 void fault_plan::Add(fault fault, unsigned count) {
-  planned_.insert(planned_.end(), count, fault);
+  queued_.insert(queued_.end(), count, fault);
 }
 
 void fault_plan::SetPeriodic(std::deque<fault> kinds, unsigned period) {
@@ -36,13 +35,13 @@
 }
 
 fault fault_plan::Next() {
-  if (!planned_.empty()) {
-    const fault next = planned_.front();
-    planned_.pop_front();
+  if (!queued_.empty()) {
+    const fault next = queued_.front();
+    queued_.pop_front();
     return next;
   }
-  ++seen_;
-  if (period_ == 0 || periodic_.empty() || seen_ % period_ != 0) {
+  ++request_count_;
+  if (period_ == 0 || periodic_.empty() || request_count_ % period_ != 0) {
     return fault::kNone;
   }
   const fault next = periodic_.front();
--- a/tools/stand_in/fault_plan.h
+++ b/tools/stand_in/fault_plan.h
@@ -1,4 +1,4 @@
-// Faults that a stand-in shows on request.
+// Fault injection for simulated targets.
 #pragma once
 
 #include <deque>
@@ -8,44 +8,45 @@
 
 enum class fault {
   kNone,
-  /// Takes the request and never answers; the connection stays open.
+  /// Accepts the request and never responds; the connection stays open.
   kHang,
-  /// Closes the connection in the middle of the answer.
+  /// Closes the connection in the middle of the response.
   kReset,
-  /// Answers with another request's name.
+  /// Responds with the ID of another request.
   kCross,
-  /// Names another request in the middle of a stream.
+  /// Sends an event with the ID of another request in the middle of a stream.
   kCrossLate,
-  /// Goes silent in the middle of a stream.
+  /// Stops sending in the middle of a stream and keeps the connection open.
   kStall,
-  /// Ends the process.
+  /// Exits the process without a response.
   kDie,
-  /// Turns cold without a word.
+  /// Becomes cold without announcing it.
   kCold,
-  /// Answers 500 after it has run the request.
+  /// Executes the request and responds with status 500.
   kError,
-  /// Refuses the request before it runs it, and says so.
+  /// Rejects the request before execution and marks the response accordingly.
   kNotAdmitted,
 };
 
-/// The fault of that name; kNone for an unknown one.
+/// Returns kNone for an unknown name.
 fault ParseFault(const std::string& name);
 
-/// Faults for the next requests, in the order in which they were added, and a
-/// share of random faults.
+/// Selects the fault for each request: queued faults first, in the order in
+/// which they were added, then periodic faults.
 class fault_plan {
  public:
-  /// `count` requests get `fault`, after those added before.
+  /// Queues `fault` for `count` requests.
   void Add(fault fault, unsigned count);
-  /// Every `period`-th request gets a fault, in turn of `kinds`; 0 for never.
+  /// Injects a fault into every `period`-th request, cycling through `kinds`.
+  /// A period of 0 disables periodic faults.
   void SetPeriodic(std::deque<fault> kinds, unsigned period);
   fault Next();
 
  private:
-  std::deque<fault> planned_;
+  std::deque<fault> queued_;
   std::deque<fault> periodic_;
   unsigned period_ = 0;
-  unsigned seen_ = 0;
+  unsigned request_count_ = 0;
 };
 
 }  // namespace burdocklock::stand_in
--- a/tools/stand_in/journal.cc
+++ b/tools/stand_in/journal.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "stand_in/journal.h"
 
 namespace burdocklock::stand_in {
@@ -16,12 +15,12 @@
   }
 }
 
-void journal::RequestBegun(const std::string& request_name) {
-  // Flushed line by line, as the process may be killed at any time.
-  out_ << kRequest << ' ' << request_name << std::endl;
+void journal::RecordRequest(const std::string& request_id) {
+  // Flush every line, as the process may be killed at any time.
+  out_ << kRequest << ' ' << request_id << std::endl;
 }
 
-void journal::OrderRun(const std::string& key) {
+void journal::RecordOrder(const std::string& key) {
   out_ << kOrder << ' ' << key << std::endl;
 }
 
--- a/tools/stand_in/journal.h
+++ b/tools/stand_in/journal.h
@@ -1,4 +1,5 @@
-// What a stand-in has run, in a file that outlives it.
+// File of the requests and orders that a simulated target has executed. The
+// file survives a crash of the target.
 #pragma once
 
 #include <fstream>
@@ -8,26 +9,26 @@
 
 namespace burdocklock::stand_in {
 
-/// Appends one line for each request begun and each order run.
+/// Appends one line for each started request and each executed order.
 class journal {
  public:
-  /// Writes nothing if `path` is empty.
+  /// An empty `path` disables the journal.
   explicit journal(const std::string& path);
 
-  void RequestBegun(const std::string& request_name);
-  void OrderRun(const std::string& key);
+  void RecordRequest(const std::string& request_id);
+  void RecordOrder(const std::string& key);
 
  private:
   std::ofstream out_;
 };
 
-/// How often each request was begun and each order was run.
+/// Number of executions by request ID and by order key.
 struct journal_counts {
   std::map<std::string, std::uint32_t> requests;
   std::map<std::string, std::uint32_t> orders;
 };
 
-/// Adds up the journals of several stand-ins; missing files count as empty.
+/// Sums the journals of several targets; missing files count as empty.
 journal_counts ReadJournals(const std::vector<std::string>& paths);
 
 }  // namespace burdocklock::stand_in
--- a/tools/stand_in/target_process.cc
+++ b/tools/stand_in/target_process.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "stand_in/target_process.h"
 
 #include <chrono>
@@ -18,7 +17,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kLeaveCheckPeriod{20};
+constexpr std::chrono::milliseconds kDrainPollInterval{20};
 
 }  // namespace
 
@@ -26,20 +25,24 @@
   app.add_option("--name", options.name, "Target name");
   app.add_option("--listen", options.listen, "Address to listen on");
   app.add_option("--entry-hosts", options.entry_hosts,
-                 "Entry hosts to announce at, separated by commas");
-  app.add_option("--token", options.token, "Target token");
-  app.add_flag("--numbered", options.numbered,
-               "Number the announcements, for control hosts");
+                 "Comma-separated entry hosts to announce to");
+  app.add_option("--token", options.token,
+                 "Token that authenticates announcements");
+  app.add_flag(
+      "--numbered", options.numbered,
+      "Add sequence numbers to announcements, as control hosts require");
   app.add_option("--data-centre", options.data_centre, "Data centre");
-  app.add_option("--slots", options.slots, "Requests borne when warm");
-  app.add_option("--cold-slots", options.cold_slots, "Requests borne cold");
-  app.add_option("--load-lag-ms", options.load_lag_ms, "Age of load reports");
+  app.add_option("--slots", options.slots, "Concurrent requests when warm");
+  app.add_option("--cold-slots", options.cold_slots,
+                 "Concurrent requests when cold");
+  app.add_option("--load-lag-ms", options.load_lag_ms,
+                 "Age of the reported load in milliseconds");
   app.add_option("--faults", options.faults,
-                 "Kinds of periodic faults, separated by commas");
+                 "Comma-separated kinds of periodic faults");
   app.add_option("--fault-period", options.fault_period,
-                 "Every how many requests a fault occurs; 0 for never");
+                 "Number of requests per periodic fault; 0 disables them");
   app.add_option("--journal", options.journal,
-                 "File that lists the requests and orders run");
+                 "File that records executed requests and orders");
 }
 
 fault_plan MakeFaultPlan(const target_options& options) {
@@ -72,7 +75,7 @@
   description["slots"] = options.slots;
   description["cold_slots"] = options.cold_slots;
   description["state"] = "ready";
-  const auto announcing = std::make_shared<announcer>(
+  const auto target_announcer = std::make_shared<announcer>(
       io,
       announcer_options{
           .entry_hosts = ParseEndpoints(options.entry_hosts),
@@ -80,14 +83,14 @@
           .load_lag = std::chrono::milliseconds(options.load_lag_ms),
           .numbered = options.numbered},
       [&description] { return description; }, process.load);
-  SpawnFiber([announcing] { announcing->Run(); });
+  SpawnFiber([target_announcer] { target_announcer->Run(); });
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
   signals.async_wait(use_fiber);
   description["state"] = "leaving";
-  announcing->Stop();
-  announcing->AnnounceOnce();
-  while (process.active() > 0) {
-    SleepFor(io, kLeaveCheckPeriod);
+  target_announcer->Stop();
+  target_announcer->AnnounceOnce();
+  while (process.active_requests() > 0) {
+    SleepFor(io, kDrainPollInterval);
   }
   server.Stop();
   return 0;
--- a/tools/stand_in/target_process.h
+++ b/tools/stand_in/target_process.h
@@ -1,5 +1,5 @@
-// What the stand-in engine and service have in common: options, announcing,
-// and leaving on SIGTERM without cutting requests.
+// Common parts of the simulated engine and service: options, announcements and
+// graceful shutdown on SIGTERM.
 #pragma once
 
 #include <cstddef>
@@ -31,22 +31,23 @@
   std::string journal;
 };
 
-/// Adds the command-line options of every stand-in target.
+/// Adds the command-line options that all simulated targets share.
 void AddTargetOptions(CLI::App& app, target_options& options);
 
-/// The faults that the options ask for.
+/// Creates the fault plan that the options describe.
 fault_plan MakeFaultPlan(const target_options& options);
 
 struct target_process {
   target_options options;
-  /// Members of the announcement beside those in `options`.
+  /// Announcement members that are not derived from `options`.
   nlohmann::json description;
-  std::function<std::size_t()> active;
+  /// Number of requests in progress.
+  std::function<std::size_t()> active_requests;
   std::function<nlohmann::json()> load;
 };
 
-/// Serves and announces until SIGTERM or SIGINT, then finishes what runs.
-/// Returns the exit code; must run on a fiber.
+/// Serves and announces until SIGTERM or SIGINT, then waits for active
+/// requests. Returns the exit code. Must be called on a fiber.
 int RunTarget(boost::asio::io_context& io,
               const target_process& process,
               net::i_http_handler& handler);
