--- a/tools/capacity/main.cc
+++ b/tools/capacity/main.cc
@@ -1,5 +1,5 @@
-// Measures the coordinator's decision code at a given size, without sockets:
-// processor time for each report and allocation, size of messages and memory.
+// Benchmark of the slot coordinator without network I/O: CPU time of reports
+// and allocations, message sizes and memory for a given fleet size.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -27,7 +27,7 @@
   std::uint32_t customers = 87;
   std::uint32_t pools = 7;
   std::uint32_t slots = 46;
-  /// Backlogged customers at each router.
+  /// Number of customers with queued requests at each router.
   std::uint32_t customers_per_router = 8;
 };
 
@@ -35,44 +35,44 @@
  public:
   explicit capacity_run(const capacity_options& options)
       : options_(options),
-        coordinator_(Member("c"),
+        coordinator_(MakeMember("c"),
                      {.directory = {.silence = seconds(1000)}},
                      random_) {}
 
   nlohmann::ordered_json Run() {
     coordinator_.Start(1, now_);
     for (std::uint32_t i = 0; i < options_.targets; ++i) {
-      coordinator_.OnAnnouncement(Target(i), now_);
+      coordinator_.OnAnnouncement(MakeTarget(i), now_);
     }
-    // The first rounds hand the slots out.
-    Round(1);
-    Round(2);
-    const double begin = CpuSeconds();
+    // The first rounds distribute the slots and are not measured.
+    RunRound(1);
+    RunRound(2);
+    const double begin = CpuTimeSeconds();
     constexpr std::uint64_t kRounds = 3;
     for (std::uint64_t round = 3; round < 3 + kRounds; ++round) {
-      Round(round);
+      RunRound(round);
     }
-    const double used = (CpuSeconds() - begin) / kRounds;
+    const double cpu_seconds_per_round = (CpuTimeSeconds() - begin) / kRounds;
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     return {{"routers", options_.routers},
             {"targets", options_.targets},
             {"customers", options_.customers},
-            {"cpu_percent", 100 * used},
+            {"cpu_percent", 100 * cpu_seconds_per_round},
             {"report_bytes", report_bytes_},
             {"grant_bytes", grant_bytes_},
             {"peak_memory_mb", static_cast<double>(usage.ru_maxrss) / 1000}};
   }
 
  private:
-  static membership::member Member(const std::string& name) {
+  static membership::member MakeMember(const std::string& name) {
     return {.daemon = daemon_id(name),
             .life = incarnation(1),
             .data_centre = data_centre_id("a"),
             .region = region_id("r")};
   }
 
-  targets::announcement Target(std::uint32_t i) const {
+  targets::announcement MakeTarget(std::uint32_t i) const {
     return {.target = target_id("target-" + std::to_string(i)),
             .life = incarnation(1),
             .data_centre = data_centre_id("a"),
@@ -85,21 +85,21 @@
             .load = targets::load_report{.at_ms = 1}};
   }
 
-  // A second of the fleet: every router reports once, and the coordinator
-  // divides the slots anew every 50 ms.
-  void Round(std::uint64_t round) {
+  // Simulates one second: every router reports once, and the coordinator
+  // allocates slots every 50 ms.
+  void RunRound(std::uint64_t round) {
     report_bytes_ = 0;
     grant_bytes_ = 0;
-    const std::uint32_t divisions = 20;
+    const std::uint32_t allocations_per_round = 20;
     for (std::uint32_t i = 0; i < options_.routers; ++i) {
       const allocation::router_report report = MakeReport(i, round);
       report_bytes_ += peer::Encode(report).size();
       coordinator_.OnReport(report, now_);
-      if (i % std::max(1U, options_.routers / divisions) == 0) {
+      if (i % std::max(1U, options_.routers / allocations_per_round) == 0) {
         coordinator_.Allocate(now_);
         for (const auto& [router, grant] : coordinator_.TakeGrants()) {
           grant_bytes_ += peer::Encode(grant).size();
-          held_[router] = grant;
+          grants_[router] = grant;
         }
       }
     }
@@ -112,12 +112,12 @@
   allocation::router_report MakeReport(std::uint32_t index,
                                        std::uint64_t round) {
     const std::string name = "router-" + std::to_string(index);
-    const allocation::grant_table& held = held_[daemon_id(name)];
-    allocation::router_report report{.sender = Member(name),
+    const allocation::grant_table& grant = grants_[daemon_id(name)];
+    allocation::router_report report{.sender = MakeMember(name),
                                      .sequence = round,
-                                     .applied_grant = held.version,
+                                     .applied_grant = grant.version,
                                      .applied_from = incarnation(1)};
-    for (const targets::target_lease& lease : held.leases) {
+    for (const targets::target_lease& lease : grant.leases) {
       report.holdings.push_back({.target = lease.target.target,
                                  .life = lease.target.life,
                                  .limit = lease.limit,
@@ -141,7 +141,7 @@
     return report;
   }
 
-  static double CpuSeconds() {
+  static double CpuTimeSeconds() {
     rusage usage{};
     getrusage(RUSAGE_SELF, &usage);
     return static_cast<double>(usage.ru_utime.tv_sec + usage.ru_stime.tv_sec) +
@@ -154,7 +154,7 @@
   seeded_random random_{1};
   time_point now_{seconds(1000)};
   allocation::slot_coordinator coordinator_;
-  std::map<daemon_id, allocation::grant_table> held_;
+  std::map<daemon_id, allocation::grant_table> grants_;
   std::uint64_t report_bytes_ = 0;
   std::uint64_t grant_bytes_ = 0;
 };
@@ -162,11 +162,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Measures the coordinator's decision code at a given size.");
+  CLI::App app("Benchmark of the slot coordinator.");
   capacity_options options;
-  app.add_option("--routers", options.routers, "Routers that report");
-  app.add_option("--targets", options.targets, "Targets of the data centre");
-  app.add_option("--customers", options.customers, "Backlogged customers");
+  app.add_option("--routers", options.routers, "Number of routers");
+  app.add_option("--targets", options.targets,
+                 "Number of targets in the data centre");
+  app.add_option("--customers", options.customers,
+                 "Number of customers with queued requests");
   app.add_option("--pools", options.pools, "Models");
   CLI11_PARSE(app, argc, argv);
   std::cout << capacity_run(options).Run().dump() << '\n';
--- a/tools/fuzz/announcement.cc
+++ b/tools/fuzz/announcement.cc
@@ -1,4 +1,4 @@
-// Fuzzes the reader of targets' announcements.
+// Fuzzes the parser of target announcements.
 #include "fuzz/fuzz_input.h"
 #include "targets/announcement_parser.h"
 
@@ -14,7 +14,7 @@
     fuzz::Require(announcement.cold_slots > 0 &&
                       announcement.cold_slots <= announcement.slots,
                   "cold slots are positive and at most the slots");
-    fuzz::Require(!announcement.pools.empty(), "there is a pool");
+    fuzz::Require(!announcement.pools.empty(), "at least one pool is present");
   }
   return 0;
 }
--- a/tools/fuzz/configuration.cc
+++ b/tools/fuzz/configuration.cc
@@ -1,4 +1,4 @@
-// Fuzzes the reader of configurations, their checks and the look-ups on them.
+// Fuzzes parsing, validation and route lookup of configurations.
 #include "fuzz/fuzz_input.h"
 #include "route_interface/configuration_document.h"
 #include "routes/configuration_checks.h"
@@ -20,7 +20,7 @@
         index.Match(route.host_name, route.path_prefix);
     fuzz::Require(matched != nullptr, "a route matches its own prefix");
     fuzz::Require(matched->path_prefix == route.path_prefix,
-                  "the longest prefix wins");
+                  "the longest matching prefix is selected");
     routes::PickService(route, size);
   }
   return 0;
--- a/tools/fuzz/control_message.cc
+++ b/tools/fuzz/control_message.cc
@@ -1,4 +1,4 @@
-// Fuzzes the codec of messages between daemons.
+// Fuzzes the codec of control messages between daemons.
 #include "control/message_codec.h"
 #include "fuzz/fuzz_input.h"
 
@@ -10,10 +10,10 @@
   const auto message = control::Decode(fuzz::ToText(data, size));
   if (message) {
     const std::string encoded = control::Encode(message.value());
-    const auto again = control::Decode(encoded);
-    fuzz::Require(again.has_value(), "what is encoded can be decoded");
-    fuzz::Require(control::Encode(again.value()) == encoded,
-                  "the encoded form is stable");
+    const auto decoded = control::Decode(encoded);
+    fuzz::Require(decoded.has_value(), "an encoded message can be decoded");
+    fuzz::Require(control::Encode(decoded.value()) == encoded,
+                  "decoding and encoding again yields the same bytes");
   }
   return 0;
 }
--- a/tools/fuzz/fuzz_input.h
+++ b/tools/fuzz/fuzz_input.h
@@ -1,4 +1,4 @@
-// The bytes of one fuzzing run, and how a run reports what must not be.
+// Helpers for fuzz targets: input conversion and invariant checks.
 #pragma once
 
 #include <cstddef>
@@ -13,10 +13,10 @@
   return {reinterpret_cast<const char*>(data), size};
 }
 
-/// Ends the process, so that the fuzzer keeps the input.
-inline void Require(bool holds, const char* what) {
+/// Aborts if the invariant is violated, so that the fuzzer saves the input.
+inline void Require(bool holds, const char* invariant) {
   if (!holds) {
-    std::cerr << "does not hold: " << what << '\n';
+    std::cerr << "invariant violated: " << invariant << '\n';
     std::abort();
   }
 }
--- a/tools/fuzz/log_frames.cc
+++ b/tools/fuzz/log_frames.cc
@@ -1,5 +1,5 @@
-// Fuzzes the reader of the log file: the file's bytes as they are, and a sound
-// file with one damaged byte.
+// Fuzzes the log file reader with arbitrary bytes and with a valid file in
+// which one bit is flipped.
 #include "storage/log_frames.h"
 #include "fuzz/fuzz_input.h"
 
@@ -14,12 +14,12 @@
     return;
   }
   fuzz::Require(scanned.value().sound_bytes <= bytes.size(),
-                "the sound part lies within the file");
-  const auto again = storage::ScanFrames(
+                "the valid part is not longer than the file");
+  const auto rescanned = storage::ScanFrames(
       std::string_view(bytes).substr(0, scanned.value().sound_bytes));
-  fuzz::Require(
-      again.has_value() && again.value().payloads == scanned.value().payloads,
-      "the sound part reads the same by itself");
+  fuzz::Require(rescanned.has_value() &&
+                    rescanned.value().payloads == scanned.value().payloads,
+                "scanning only the valid part yields the same payloads");
 }
 
 }  // namespace
@@ -31,8 +31,8 @@
   std::string file;
   const std::size_t half = size / 2;
   storage::AppendFrame(bytes.substr(0, half), 0, file);
-  const std::size_t synced = file.size();
-  storage::AppendFrame(bytes.substr(half), synced, file);
+  const std::size_t first_frame_end = file.size();
+  storage::AppendFrame(bytes.substr(half), first_frame_end, file);
   if (size > 0) {
     file[(data[0] * size) % file.size()] ^= 1;
     CheckScan(file);
--- a/tools/fuzz/log_record.cc
+++ b/tools/fuzz/log_record.cc
@@ -10,10 +10,10 @@
   const auto record = quorum::DecodeRecord(fuzz::ToText(data, size));
   if (record) {
     const std::string encoded = quorum::EncodeRecord(record.value());
-    const auto again = quorum::DecodeRecord(encoded);
-    fuzz::Require(again.has_value(), "what is encoded can be decoded");
-    fuzz::Require(quorum::EncodeRecord(again.value()) == encoded,
-                  "the encoded form is stable");
+    const auto decoded = quorum::DecodeRecord(encoded);
+    fuzz::Require(decoded.has_value(), "an encoded record can be decoded");
+    fuzz::Require(quorum::EncodeRecord(decoded.value()) == encoded,
+                  "decoding and encoding again yields the same bytes");
   }
   return 0;
 }
--- a/tools/fuzz/platform_documents.cc
+++ b/tools/fuzz/platform_documents.cc
@@ -1,4 +1,4 @@
-// Fuzzes the readers of the platform's documents.
+// Fuzzes the decoders of platform documents.
 #include "fuzz/fuzz_input.h"
 #include "platform/announcement_decoder.h"
 #include "platform/configuration_decoder.h"
--- a/tools/load/caller.cc
+++ b/tools/load/caller.cc
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr unsigned kFirstError = 400;
-constexpr std::uint32_t kMaxBody = 64 * 1024 * 1024;
+constexpr unsigned kFirstErrorStatus = 400;
+constexpr std::uint32_t kMaxBodyBytes = 64 * 1024 * 1024;
 
-net::http_request BuildGeneration(const load_options& options,
-                                  const call_plan& plan) {
+net::http_request BuildCompletionRequest(const load_options& options,
+                                         const call_plan& plan) {
   const json body = {
       {"model", options.model},
       {"stream", plan.type == call_type::kStream},
@@ -32,8 +32,8 @@
   return request;
 }
 
-net::http_request BuildServiceCall(const load_options& options,
-                                   const call_plan& plan) {
+net::http_request BuildServiceRequest(const load_options& options,
+                                      const call_plan& plan) {
   const bool order = plan.type == call_type::kOrder;
   net::http_request request(
       order ? http::verb::post : http::verb::get,
@@ -50,9 +50,9 @@
 net::http_request BuildRequest(const load_options& options,
                                const call_plan& plan) {
   const bool generation =
-      plan.type == call_type::kStream || plan.type == call_type::kWhole;
-  net::http_request request = generation ? BuildGeneration(options, plan)
-                                         : BuildServiceCall(options, plan);
+      plan.type == call_type::kStream || plan.type == call_type::kUnstreamed;
+  net::http_request request = generation ? BuildCompletionRequest(options, plan)
+                                         : BuildServiceRequest(options, plan);
   request.set(http::field::host, ToString(plan.host));
   request.set(http::field::authorization, "Bearer " + plan.key);
   return request;
@@ -63,41 +63,43 @@
   if (!problem.is_object() || !problem.contains("refusal_id")) {
     return;
   }
-  record.refusal_name = problem.value("refusal_id", "");
+  record.refusal_id = problem.value("refusal_id", "");
   record.reason = problem.value("reason", "");
   record.run = problem.value("run", "");
 }
 
-// Reads events of a stream and checks that each token is the caller's own.
+// Parses the events of a stream and checks that each token belongs to this
+// call.
 class stream_reader {
  public:
-  stream_reader(const call_plan& plan, call_record& record, time_point begin)
-      : plan_(plan), record_(record), begin_(begin) {}
+  stream_reader(const call_plan& plan, call_record& record, time_point start)
+      : plan_(plan), record_(record), start_(start) {}
 
-  // False once the stream is over for this caller.
+  // Returns false once no more events are to be read.
   bool Feed(std::string_view bytes) {
     pending_.append(bytes);
     std::size_t end = pending_.find("\n\n");
-    bool go_on = true;
+    bool read_more = true;
     std::size_t from = 0;
-    while (go_on && end != std::string::npos) {
-      go_on = HandleEvent(std::string_view(pending_).substr(from, end - from));
+    while (read_more && end != std::string::npos) {
+      read_more =
+          HandleEvent(std::string_view(pending_).substr(from, end - from));
       from = end + 2;
       end = pending_.find("\n\n", from);
     }
     pending_.erase(0, from);
-    return go_on;
+    return read_more;
   }
 
  private:
   bool HandleEvent(std::string_view event) {
     if (event.starts_with("event: error")) {
-      record_.outcome = seen_outcome::kCut;
+      record_.outcome = call_outcome::kCut;
       ReadProblem(std::string(event.substr(event.find('{'))), record_);
       return false;
     }
     if (event == "data: [DONE]") {
-      record_.outcome = seen_outcome::kAnswered;
+      record_.outcome = call_outcome::kAnswered;
       return false;
     }
     if (event.find("\"content\":") == std::string_view::npos) {
@@ -109,18 +111,19 @@
   bool HandleToken(std::string_view event) {
     const time_point now = steady_clock::now();
     if (record_.tokens == 0) {
-      record_.first_token = now - begin_;
+      record_.first_token = now - start_;
     } else {
-      record_.gaps.push_back(now - last_);
+      record_.token_intervals.push_back(now - last_token_time_);
     }
-    last_ = now;
+    last_token_time_ = now;
     ++record_.tokens;
     if (event.find("\"" + plan_.nonce + " \"") == std::string_view::npos) {
-      record_.outcome = seen_outcome::kWrongAnswer;
+      record_.outcome = call_outcome::kWrongAnswer;
       return false;
     }
-    if (plan_.leave_after > 0 && record_.tokens >= plan_.leave_after) {
-      record_.outcome = seen_outcome::kLeft;
+    if (plan_.disconnect_after_tokens > 0 &&
+        record_.tokens >= plan_.disconnect_after_tokens) {
+      record_.outcome = call_outcome::kDisconnected;
       return false;
     }
     return true;
@@ -128,32 +131,32 @@
 
   const call_plan& plan_;
   call_record& record_;
-  time_point begin_;
-  time_point last_{};
+  time_point start_;
+  time_point last_token_time_{};
   std::string pending_;
 };
 
 void ReadStream(net::http_client& client,
                 const call_plan& plan,
-                time_point begin,
+                time_point start,
                 call_record& record) {
-  record.outcome = seen_outcome::kCut;
-  stream_reader reader(plan, record, begin);
-  std::array<char, 32 * 1024> piece;
-  bool go_on = true;
-  while (go_on && !client.AtEnd()) {
-    const auto read = client.ReadSome(piece.data(), piece.size());
+  record.outcome = call_outcome::kCut;
+  stream_reader reader(plan, record, start);
+  std::array<char, 32 * 1024> buffer;
+  bool read_more = true;
+  while (read_more && !client.AtEnd()) {
+    const auto read = client.ReadSome(buffer.data(), buffer.size());
     if (!read) {
       return;
     }
-    go_on = reader.Feed(std::string_view(piece.data(), read.value()));
+    read_more = reader.Feed(std::string_view(buffer.data(), read.value()));
   }
-  if (record.outcome != seen_outcome::kAnswered) {
+  if (record.outcome != call_outcome::kAnswered) {
     client.Close();
     return;
   }
   while (!client.AtEnd()) {
-    if (!client.ReadSome(piece.data(), piece.size())) {
+    if (!client.ReadSome(buffer.data(), buffer.size())) {
       return;
     }
   }
@@ -161,23 +164,23 @@
 
 result<std::string> ReadBody(net::http_client& client) {
   std::string body;
-  std::array<char, 32 * 1024> piece;
+  std::array<char, 32 * 1024> buffer;
   while (!client.AtEnd()) {
-    const auto read = client.ReadSome(piece.data(), piece.size());
+    const auto read = client.ReadSome(buffer.data(), buffer.size());
     if (!read) {
       return read.error();
     }
-    body.append(piece.data(), read.value());
+    body.append(buffer.data(), read.value());
   }
   return body;
 }
 
-void CheckWhole(const std::string& body,
-                const call_plan& plan,
-                call_record& record) {
+void CheckResponseBody(const std::string& body,
+                       const call_plan& plan,
+                       call_record& record) {
   record.outcome = body.find(plan.nonce) == std::string::npos
-                       ? seen_outcome::kWrongAnswer
-                       : seen_outcome::kAnswered;
+                       ? call_outcome::kWrongAnswer
+                       : call_outcome::kAnswered;
 }
 
 }  // namespace
@@ -192,7 +195,7 @@
   if (plan.type == call_type::kOrder) {
     record.order = plan.nonce;
   }
-  const time_point begin = steady_clock::now();
+  const time_point start = steady_clock::now();
   client.ExpiresAfter(options.call_timeout);
   if (!connected && !client.Connect(plan.host)) {
     return record;
@@ -201,28 +204,28 @@
   if (!client.Send(request)) {
     return record;
   }
-  const auto head = client.ReadHead(kMaxBody);
+  const auto head = client.ReadHead(kMaxBodyBytes);
   if (!head) {
     return record;
   }
   record.status = head.value().status;
-  record.request_name = head.value().fields["X-Request-Id"];
-  if (record.status < kFirstError && plan.type == call_type::kStream) {
-    ReadStream(client, plan, begin, record);
-    record.total = steady_clock::now() - begin;
+  record.request_id = head.value().fields["X-Request-Id"];
+  if (record.status < kFirstErrorStatus && plan.type == call_type::kStream) {
+    ReadStream(client, plan, start, record);
+    record.total = steady_clock::now() - start;
     return record;
   }
   const result<std::string> body = ReadBody(client);
-  record.total = steady_clock::now() - begin;
+  record.total = steady_clock::now() - start;
   record.first_token = record.total;
   if (!body) {
     return record;
   }
-  if (record.status >= kFirstError) {
-    record.outcome = seen_outcome::kRefused;
+  if (record.status >= kFirstErrorStatus) {
+    record.outcome = call_outcome::kRefused;
     ReadProblem(body.value(), record);
   } else {
-    CheckWhole(body.value(), plan, record);
+    CheckResponseBody(body.value(), plan, record);
   }
   return record;
 }
--- a/tools/load/caller.h
+++ b/tools/load/caller.h
@@ -1,4 +1,4 @@
-// One caller: makes one call and checks the answer.
+// Client of the load generator: makes one call and checks the response.
 #pragma once
 
 #include <string>
@@ -15,14 +15,15 @@
   std::string customer;
   std::string key;
   endpoint host;
-  /// Unique word that the answer must repeat; the key of an order.
+  /// Unique word that the response must contain; also the idempotency key of an
+  /// order.
   std::string nonce;
-  /// Leave after this many tokens; zero to stay.
-  std::uint32_t leave_after = 0;
+  /// Close the stream after this many tokens; 0 reads it to the end.
+  std::uint32_t disconnect_after_tokens = 0;
 };
 
-/// Blocks the calling fiber until the call has ended. `client` is connected if
-/// it is not yet, and stays usable if `client.Reusable()`.
+/// Blocks the calling fiber until the call has ended. Connects `client` unless
+/// `connected` is set. The connection can be used again if `client.Reusable()`.
 call_record MakeCall(boost::asio::io_context& io,
                      const load_options& options,
                      const call_plan& plan,
--- a/tools/load/load_run.cc
+++ b/tools/load/load_run.cc
@@ -22,12 +22,12 @@
 
 using std::chrono::steady_clock;
 
-// Idle connections to entry hosts, kept for the next call.
+// Idle connections to entry hosts for reuse by later calls.
 class connection_pool {
  public:
   explicit connection_pool(boost::asio::io_context& io) : io_(io) {}
 
-  std::pair<std::unique_ptr<net::http_client>, bool> Take(
+  std::pair<std::unique_ptr<net::http_client>, bool> Acquire(
       const endpoint& host) {
     auto& idle = idle_[host];
     while (!idle.empty()) {
@@ -40,7 +40,7 @@
     return {std::make_unique<net::http_client>(io_), false};
   }
 
-  void Put(const endpoint& host, std::unique_ptr<net::http_client> client) {
+  void Release(const endpoint& host, std::unique_ptr<net::http_client> client) {
     if (client->Reusable()) {
       client->ExpiresNever();
       idle_[host].push_back(std::move(client));
@@ -55,67 +55,68 @@
 class load_run {
  public:
   load_run(boost::asio::io_context& io, const load_options& options)
-      : io_(io), options_(options), pool_(io), begin_(steady_clock::now()) {}
+      : io_(io), options_(options), pool_(io), start_(steady_clock::now()) {}
 
   std::vector<call_record> Run() {
-    const std::uint32_t drivers = std::max(1U, options_.concurrency);
+    const std::uint32_t workers = std::max(1U, options_.concurrency);
     for (std::size_t i = 0; i < options_.customers.size(); ++i) {
-      for (std::uint32_t driver = 0; driver < drivers; ++driver) {
-        ++pending_;
-        SpawnFiber([this, i, driver] {
+      for (std::uint32_t worker = 0; worker < workers; ++worker) {
+        ++pending_tasks_;
+        SpawnFiber([this, i, worker] {
           const auto seed =
               options_.seed * 1000 + static_cast<std::uint32_t>(i);
           if (options_.concurrency > 0) {
-            RepeatCalls(options_.customers[i], seed * 1000 + driver);
+            RunClosedLoop(options_.customers[i], seed * 1000 + worker);
           } else {
-            DriveCustomer(options_.customers[i], seed);
+            RunOpenLoop(options_.customers[i], seed);
           }
-          Done();
+          OnTaskDone();
         });
       }
     }
-    while (pending_ > 0) {
+    while (pending_tasks_ > 0) {
       all_done_.Wait();
     }
     return std::move(records_);
   }
 
  private:
-  void DriveCustomer(const customer_load& customer, std::uint32_t seed) {
+  void RunOpenLoop(const customer_load& customer, std::uint32_t seed) {
     boost::random::taus88 random(seed + 1);
-    boost::random::exponential_distribution<double> gap(
+    boost::random::exponential_distribution<double> interarrival_time(
         customer.rate_per_second);
-    boost::random::uniform_01<double> share;
-    time_point next = begin_;
+    boost::random::uniform_01<double> uniform;
+    time_point next = start_;
     for (std::uint32_t number = 0;; ++number) {
       next += std::chrono::duration_cast<duration>(
-          std::chrono::duration<double>(gap(random)));
-      if (next >= begin_ + options_.length) {
+          std::chrono::duration<double>(interarrival_time(random)));
+      if (next >= start_ + options_.length) {
         return;
       }
       const duration wait = next - steady_clock::now();
       if (wait > duration::zero()) {
         SleepFor(io_, wait);
       }
-      Start(MakePlan(customer, number, share(random), share(random)));
+      StartCall(MakePlan(customer, number, uniform(random), uniform(random)));
     }
   }
 
-  void RepeatCalls(const customer_load& customer, std::uint32_t seed) {
+  void RunClosedLoop(const customer_load& customer, std::uint32_t seed) {
     boost::random::taus88 random(seed + 1);
-    boost::random::uniform_01<double> share;
+    boost::random::uniform_01<double> uniform;
     for (std::uint32_t number = 0;
-         steady_clock::now() < begin_ + options_.length; ++number) {
-      call_plan plan = MakePlan(customer, number, share(random), share(random));
+         steady_clock::now() < start_ + options_.length; ++number) {
+      call_plan plan =
+          MakePlan(customer, number, uniform(random), uniform(random));
       plan.nonce += "-" + std::to_string(seed);
-      Call(plan);
+      RunCall(plan);
     }
   }
 
   call_plan MakePlan(const customer_load& customer,
                      std::uint32_t number,
                      double type_draw,
-                     double leave_draw) const {
+                     double disconnect_draw) const {
     const std::size_t host = customer.hosts[number % customer.hosts.size()];
     call_plan plan{.customer = customer.name,
                    .key = customer.key,
@@ -123,36 +124,36 @@
                    .nonce = customer.name + "-" +
                             std::to_string(options_.seed) + "-" +
                             std::to_string(number)};
-    if (type_draw < options_.whole_share) {
-      plan.type = call_type::kWhole;
-    } else if (type_draw < options_.whole_share + options_.order_share) {
+    if (type_draw < options_.unstreamed_share) {
+      plan.type = call_type::kUnstreamed;
+    } else if (type_draw < options_.unstreamed_share + options_.order_share) {
       plan.type = call_type::kOrder;
-    } else if (type_draw < options_.whole_share + options_.order_share +
+    } else if (type_draw < options_.unstreamed_share + options_.order_share +
                                options_.certificate_share) {
       plan.type = call_type::kCertificate;
-    } else if (leave_draw < options_.leave_share) {
-      plan.leave_after = options_.max_tokens / 2;
+    } else if (disconnect_draw < options_.disconnect_share) {
+      plan.disconnect_after_tokens = options_.max_tokens / 2;
     }
     return plan;
   }
 
-  void Start(call_plan plan) {
-    ++pending_;
+  void StartCall(call_plan plan) {
+    ++pending_tasks_;
     SpawnFiber([this, plan = std::move(plan)] {
-      Call(plan);
-      Done();
+      RunCall(plan);
+      OnTaskDone();
     });
   }
 
-  void Call(const call_plan& plan) {
-    auto [client, connected] = pool_.Take(plan.host);
+  void RunCall(const call_plan& plan) {
+    auto [client, connected] = pool_.Acquire(plan.host);
     records_.push_back(MakeCall(io_, options_, plan, *client, connected));
-    records_.back().ended = steady_clock::now() - begin_;
-    pool_.Put(plan.host, std::move(client));
+    records_.back().end_time = steady_clock::now() - start_;
+    pool_.Release(plan.host, std::move(client));
   }
 
-  void Done() {
-    if (--pending_ == 0) {
+  void OnTaskDone() {
+    if (--pending_tasks_ == 0) {
       all_done_.Set();
     }
   }
@@ -160,8 +161,8 @@
   boost::asio::io_context& io_;
   const load_options& options_;
   connection_pool pool_;
-  time_point begin_;
-  std::size_t pending_ = 0;
+  time_point start_;
+  std::size_t pending_tasks_ = 0;
   fiber_event all_done_;
   std::vector<call_record> records_;
 };
--- a/tools/load/load_run.h
+++ b/tools/load/load_run.h
@@ -1,4 +1,5 @@
-// An open-loop run: calls start on a schedule that does not wait for answers.
+// Load run: open loop, in which calls start on a schedule regardless of
+// responses, or closed loop with a fixed concurrency.
 #pragma once
 
 #include <vector>
@@ -9,7 +10,8 @@
 
 namespace burdocklock::load {
 
-/// Runs on the calling fiber's thread and returns when every call has ended.
+/// Runs on the thread of the calling fiber and returns when every call has
+/// ended.
 std::vector<call_record> RunLoad(boost::asio::io_context& io,
                                  const load_options& options);
 
--- a/tools/load/main.cc
+++ b/tools/load/main.cc
@@ -1,5 +1,5 @@
-// Load tool: sends calls of several customers on an open-loop schedule, checks
-// every answer and reports what the callers saw.
+// Load generator: sends calls of several customers, checks every response and
+// reports outcomes and latencies.
 #include <fstream>
 #include <iostream>
 #include <map>
@@ -29,8 +29,8 @@
   load::load_options load;
 };
 
-// "name:key:rate" or "name:key:rate:0+2", the last part naming hosts by
-// index.
+// Parses "name:key:rate" or "name:key:rate:0+2"; the last part selects entry
+// hosts by index.
 load::customer_load ParseCustomer(const std::string& text,
                                   std::size_t host_count) {
   std::vector<std::string> parts;
@@ -39,7 +39,7 @@
     parts.push_back(part);
   }
   if (parts.size() < 3) {
-    std::cerr << "not a customer of the form name:key:rate: " << text << '\n';
+    std::cerr << "invalid customer, expected name:key:rate: " << text << '\n';
     std::exit(2);
   }
   load::customer_load customer{.name = parts[0],
@@ -65,8 +65,8 @@
     out << nlohmann::ordered_json{{"customer", record.customer},
                                   {"outcome", load::ToString(record.outcome)},
                                   {"status", record.status},
-                                  {"request", record.request_name},
-                                  {"refusal", record.refusal_name},
+                                  {"request", record.request_id},
+                                  {"refusal", record.refusal_id},
                                   {"reason", record.reason},
                                   {"run", record.run},
                                   {"order", record.order},
@@ -80,7 +80,7 @@
 void RunTool(boost::asio::io_context& io, tool_options& options) {
   options.load.hosts = stand_in::ParseEndpoints(options.hosts);
   if (options.load.hosts.empty()) {
-    std::cerr << "no entry hosts\n";
+    std::cerr << "--hosts contains no address\n";
     std::exit(2);
   }
   options.load.length = std::chrono::duration_cast<duration>(
@@ -100,13 +100,13 @@
     }
     const auto warm_up = std::chrono::seconds(options.gap_after);
     const load::service_gap gap =
-        load::LargestGap(records, shares, warm_up, options.load.length);
+        load::LargestServiceGap(records, shares, warm_up, options.load.length);
     report["gap"] = {
         {"largest", gap.largest}, {"first", gap.first}, {"second", gap.second}};
   }
   if (!options.journals.empty()) {
-    const load::truth_check check =
-        load::CheckTruth(records, stand_in::ReadJournals(options.journals));
+    const load::consistency_check check = load::CheckAgainstJournals(
+        records, stand_in::ReadJournals(options.journals));
     report["check"] = {{"wrong_answers", check.wrong_answers},
                        {"false_not_run", check.false_not_run},
                        {"doubled_orders", check.doubled_orders}};
@@ -120,39 +120,40 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Sends load to burdocklock entry hosts.");
+  CLI::App app("Load generator for burdocklock entry hosts.");
   tool_options options;
-  app.add_option("--hosts", options.hosts, "Entry hosts, separated by commas")
+  app.add_option("--hosts", options.hosts, "Comma-separated entry hosts")
       ->required();
   app.add_option("--customer", options.customers,
                  "name:key:rate[:host index+...], repeatable")
       ->required();
-  app.add_option("--seconds", options.seconds, "Length of the run");
-  app.add_option("--model", options.load.model, "Model to ask");
+  app.add_option("--seconds", options.seconds,
+                 "Duration of the run in seconds");
+  app.add_option("--model", options.load.model, "Model to request");
   app.add_option("--service", options.load.service, "Service to call");
   app.add_option("--max-tokens", options.load.max_tokens,
-                 "Tokens of each answer");
+                 "Tokens per response");
   app.add_option("--prompt-bytes", options.load.prompt_bytes,
-                 "Size of the prompts");
-  app.add_option("--whole-share", options.load.whole_share,
-                 "Share of calls that are not streamed");
+                 "Prompt size in bytes");
+  app.add_option("--whole-share", options.load.unstreamed_share,
+                 "Fraction of calls that are not streamed");
   app.add_option("--order-share", options.load.order_share,
-                 "Share of calls that file an order");
+                 "Fraction of calls that place an order");
   app.add_option("--certificate-share", options.load.certificate_share,
-                 "Share of calls that fetch a certificate");
-  app.add_option("--leave-share", options.load.leave_share,
-                 "Share of streams that the caller leaves");
-  app.add_option("--seed", options.load.seed, "Seed of the schedule");
+                 "Fraction of calls that fetch a certificate");
+  app.add_option("--leave-share", options.load.disconnect_share,
+                 "Fraction of streams that the client closes halfway");
+  app.add_option("--seed", options.load.seed, "Random seed of the schedule");
   app.add_option("--journal", options.journals,
-                 "Journal of a stand-in to compare with, repeatable");
+                 "Journal of a simulated target to check against, repeatable");
   app.add_option("--share", options.shares,
-                 "name:share, to report the largest service gap");
+                 "name:share, repeatable; reports the largest service gap");
   app.add_option("--gap-after", options.gap_after,
-                 "Seconds after which the gap is measured");
+                 "Warm-up in seconds before the service gap is measured");
   app.add_option("--concurrency", options.load.concurrency,
-                 "Calls at any time for each customer instead of a rate");
+                 "Concurrent calls per customer, instead of a rate");
   app.add_option("--records", options.records_path,
-                 "File for one JSON line for each call");
+                 "Output file with one JSON line per call");
   CLI11_PARSE(app, argc, argv);
   return stand_in::RunOnFiberThread([&](boost::asio::io_context& io) {
     RunTool(io, options);
--- a/tools/load/report.cc
+++ b/tools/load/report.cc
@@ -12,7 +12,7 @@
   std::map<std::string, std::uint32_t> outcomes;
   std::map<std::string, std::uint32_t> refusals;
   std::vector<duration> first_tokens;
-  std::vector<duration> gaps;
+  std::vector<duration> token_intervals;
   std::vector<duration> totals;
   std::uint64_t tokens = 0;
   for (const call_record* record : records) {
@@ -21,12 +21,14 @@
       ++refusals[record->reason + "/" + record->run];
     }
     tokens += record->tokens;
-    if (record->outcome != seen_outcome::kAnswered) {
+    if (record->outcome != call_outcome::kAnswered) {
       continue;
     }
     first_tokens.push_back(record->first_token);
     totals.push_back(record->total);
-    gaps.insert(gaps.end(), record->gaps.begin(), record->gaps.end());
+    token_intervals.insert(token_intervals.end(),
+                           record->token_intervals.begin(),
+                           record->token_intervals.end());
   }
   return {{"calls", records.size()},
           {"outcomes", outcomes},
@@ -35,7 +37,7 @@
           {"first_token_p50_ms", Percentile(first_tokens, 0.5)},
           {"first_token_p95_ms", Percentile(first_tokens, 0.95)},
           {"first_token_p99_ms", Percentile(first_tokens, 0.99)},
-          {"between_tokens_p95_ms", Percentile(gaps, 0.95)},
+          {"between_tokens_p95_ms", Percentile(token_intervals, 0.95)},
           {"total_p50_ms", Percentile(totals, 0.5)},
           {"total_p99_ms", Percentile(totals, 0.99)}};
 }
@@ -54,19 +56,19 @@
   return ToMilliseconds(samples[rank]);
 }
 
-const char* ToString(seen_outcome outcome) {
+const char* ToString(call_outcome outcome) {
   switch (outcome) {
-    case seen_outcome::kAnswered:
+    case call_outcome::kAnswered:
       return "answered";
-    case seen_outcome::kRefused:
+    case call_outcome::kRefused:
       return "refused";
-    case seen_outcome::kCut:
+    case call_outcome::kCut:
       return "cut";
-    case seen_outcome::kWrongAnswer:
+    case call_outcome::kWrongAnswer:
       return "wrong_answer";
-    case seen_outcome::kNoAnswer:
+    case call_outcome::kNoAnswer:
       return "no_answer";
-    case seen_outcome::kLeft:
+    case call_outcome::kDisconnected:
       return "left";
   }
   return "no_answer";
@@ -93,10 +95,10 @@
       {"all", SummariseGroup(all)}, {"customers", customers}, {"hosts", hosts}};
 }
 
-service_gap LargestGap(const std::vector<call_record>& records,
-                       const std::map<std::string, double>& shares,
-                       duration from,
-                       duration to) {
+service_gap LargestServiceGap(const std::vector<call_record>& records,
+                              const std::map<std::string, double>& shares,
+                              duration from,
+                              duration to) {
   constexpr std::chrono::milliseconds kStep{100};
   const auto steps = static_cast<std::size_t>((to - from) / kStep) + 1;
   std::map<std::string, std::vector<double>> service;
@@ -105,40 +107,45 @@
   }
   for (const call_record& record : records) {
     const auto found = service.find(record.customer);
-    if (found == service.end() || record.ended < from || record.ended >= to) {
+    if (found == service.end() || record.end_time < from ||
+        record.end_time >= to) {
       continue;
     }
-    const auto step = static_cast<std::size_t>((record.ended - from) / kStep);
+    const auto step =
+        static_cast<std::size_t>((record.end_time - from) / kStep);
     found->second[step] += record.tokens / shares.at(record.customer);
   }
   service_gap gap;
   for (auto a = service.begin(); a != service.end(); ++a) {
     for (auto b = std::next(a); b != service.end(); ++b) {
       double difference = 0;
-      double least = 0;
-      double most = 0;
+      double minimum = 0;
+      double maximum = 0;
       for (std::size_t i = 0; i < steps; ++i) {
         difference += a->second[i] - b->second[i];
-        least = std::min(least, difference);
-        most = std::max(most, difference);
+        minimum = std::min(minimum, difference);
+        maximum = std::max(maximum, difference);
       }
-      if (most - least > gap.largest) {
-        gap = {.largest = most - least, .first = a->first, .second = b->first};
+      if (maximum - minimum > gap.largest) {
+        gap = {.largest = maximum - minimum,
+               .first = a->first,
+               .second = b->first};
       }
     }
   }
   return gap;
 }
 
-truth_check CheckTruth(const std::vector<call_record>& records,
-                       const stand_in::journal_counts& journals) {
-  truth_check check;
+consistency_check CheckAgainstJournals(
+    const std::vector<call_record>& records,
+    const stand_in::journal_counts& journals) {
+  consistency_check check;
   for (const call_record& record : records) {
-    if (record.outcome == seen_outcome::kWrongAnswer) {
+    if (record.outcome == call_outcome::kWrongAnswer) {
       ++check.wrong_answers;
     }
     if (record.run == "not_run" &&
-        journals.requests.contains(record.request_name)) {
+        journals.requests.contains(record.request_id)) {
       ++check.false_not_run;
     }
   }
--- a/tools/load/report.h
+++ b/tools/load/report.h
@@ -1,4 +1,4 @@
-// Figures over what callers saw.
+// Statistics of the results of a load run.
 #pragma once
 
 #include <map>
@@ -12,38 +12,39 @@
 
 namespace burdocklock::load {
 
-/// Value at `quantile` (0 to 1) of the samples, in milliseconds; zero if there
-/// are none.
+/// Returns the value at `quantile` (0 to 1) in milliseconds, or 0 if there are
+/// no samples.
 double Percentile(std::vector<duration> samples, double quantile);
 
-const char* ToString(seen_outcome outcome);
+const char* ToString(call_outcome outcome);
 
-/// Counts by outcome and percentiles, in all, for each customer and for each
-/// host.
+/// Returns outcome counts and latency percentiles in total, per customer and
+/// per host.
 nlohmann::ordered_json Summarise(const std::vector<call_record>& records);
 
-/// Largest difference over any interval between the weighted service (answer
+/// Largest difference over any interval between the weighted service (response
 /// tokens divided by share) of two customers, from `from` to `to` after the
-/// begin of the run. All customers must be backlogged in that time.
+/// start of the run. All customers must be backlogged during that time.
 struct service_gap {
   double largest = 0;
   std::string first;
   std::string second;
 };
-service_gap LargestGap(const std::vector<call_record>& records,
-                       const std::map<std::string, double>& shares,
-                       duration from,
-                       duration to);
-
-/// What targets say they ran, against what callers were told.
-struct truth_check {
-  /// Refusals that said "not run" for a request that a target had begun.
+service_gap LargestServiceGap(const std::vector<call_record>& records,
+                              const std::map<std::string, double>& shares,
+                              duration from,
+                              duration to);
+
+/// Comparison of the responses with the journals of the targets.
+struct consistency_check {
+  /// Refusals with "not_run" for a request that a target had started.
   std::uint32_t false_not_run = 0;
-  /// Orders that ran more than once.
+  /// Orders that were executed more than once.
   std::uint32_t doubled_orders = 0;
   std::uint32_t wrong_answers = 0;
 };
-truth_check CheckTruth(const std::vector<call_record>& records,
-                       const stand_in::journal_counts& journals);
+consistency_check CheckAgainstJournals(
+    const std::vector<call_record>& records,
+    const stand_in::journal_counts& journals);
 
 }  // namespace burdocklock::load
--- a/tools/load/types.h
+++ b/tools/load/types.h
@@ -1,4 +1,4 @@
-// What the load tool sends and sees.
+// Options, calls and results of the load generator.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,15 @@
 
 namespace burdocklock::load {
 
-enum class call_type { kStream, kWhole, kOrder, kCertificate };
+enum class call_type { kStream, kUnstreamed, kOrder, kCertificate };
 
-/// One customer's traffic.
+/// Traffic of one customer.
 struct customer_load {
   std::string name;
   std::string key;
   double rate_per_second = 1;
-  /// Entry hosts that it calls, in turn; indices into the list of hosts.
+  /// Entry hosts to call in round-robin order, as indices into
+  /// `load_options::hosts`.
   std::vector<std::size_t> hosts;
 };
 
@@ -29,52 +30,53 @@
   duration length = std::chrono::seconds(10);
   std::uint32_t max_tokens = 16;
   std::uint32_t prompt_bytes = 64;
-  /// Share of calls of each type; the rest are streams.
-  double whole_share = 0;
+  /// Fraction of calls of each type; the remaining calls are streams.
+  double unstreamed_share = 0;
   double order_share = 0;
   double certificate_share = 0;
-  /// Share of streams that the caller leaves in the middle.
-  double leave_share = 0;
+  /// Fraction of streams that the client closes halfway.
+  double disconnect_share = 0;
   std::uint32_t seed = 1;
-  /// If positive, each customer keeps this many calls running (closed loop)
-  /// instead of starting them at its rate (open loop).
+  /// If positive, each customer keeps this many calls in progress (closed loop)
+  /// instead of starting calls at its rate (open loop).
   std::uint32_t concurrency = 0;
   duration call_timeout = std::chrono::seconds(60);
 };
 
-enum class seen_outcome {
-  /// The whole answer to the caller's own request.
+enum class call_outcome {
+  /// A complete response to this request.
   kAnswered,
-  /// A problem document.
+  /// An error status, usually with a problem document.
   kRefused,
   /// The stream ended with an error event or before its closing event.
   kCut,
-  /// An answer that was not to this request.
+  /// A response to another request.
   kWrongAnswer,
-  /// No HTTP answer.
+  /// No complete HTTP response.
   kNoAnswer,
-  /// The caller left on purpose.
-  kLeft,
+  /// The client closed the stream deliberately.
+  kDisconnected,
 };
 
-/// What one caller saw.
+/// Result of one call from the client's point of view.
 struct call_record {
   std::string customer;
   endpoint host;
   call_type type = call_type::kStream;
-  seen_outcome outcome = seen_outcome::kNoAnswer;
+  call_outcome outcome = call_outcome::kNoAnswer;
   unsigned status = 0;
-  std::string request_name;
-  std::string refusal_name;
+  std::string request_id;
+  std::string refusal_id;
   std::string reason;
   std::string run;
   std::string order;
   duration first_token{};
   duration total{};
-  /// Time of the end since the run began.
-  duration ended{};
+  /// Time from the start of the run to the end of the call.
+  duration end_time{};
   std::uint32_t tokens = 0;
-  std::vector<duration> gaps;
+  /// Times between successive tokens.
+  std::vector<duration> token_intervals;
 };
 
 }  // namespace burdocklock::load
