--- a/scripts/benches/capacity.sh
+++ b/scripts/benches/capacity.sh
@@ -1,5 +1,6 @@
-# The coordinator's decision code at growing sizes, up to one data centre of
-# letter 1 (280 routers, 1,300 targets, 87 backlogged customers).
+# CPU time, message sizes and memory of the slot coordinator at increasing sizes,
+# up to the required size of one data centre: 280 routers, 1,300 targets and 87
+# backlogged customers.
 source scripts/lib.sh
 
 for size in "20 93" "70 325" "140 650" "280 1300"; do
--- a/scripts/benches/faults.sh
+++ b/scripts/benches/faults.sh
@@ -1,5 +1,5 @@
-# What callers see while targets hang, reset, cross answers, die and go silent;
-# then a graceful shutdown under load.
+# Responses to callers while targets hang, reset connections, mix up responses,
+# crash and stop responding; then a graceful shutdown under load.
 source scripts/lib.sh
 
 write_sheet large:4 middle:2 small:1
@@ -10,53 +10,53 @@
 whole_answer_ms = 3000
 service_answer_ms = 1000
 target_silence_ms = 3000'
-start_daemon router "$work/router.toml"
+start_daemon router "$work_dir/router.toml"
 all_faults=hang,reset,cross,cross_late,stall,error,not_admitted
 journals=()
 for i in 1 2 3 4 5; do
   start "engine-$i" "$engine" --name "engine-$i" --data-centre a \
     --entry-hosts "$callers" --token "$target_token" --cold-ms 500 \
     --step-us 5000 --faults "$all_faults" --fault-period $((18 + i)) \
-    --journal "$work/engine-$i.journal"
-  journals+=(--journal "$work/engine-$i.journal")
+    --journal "$work_dir/engine-$i.journal"
+  journals+=(--journal "$work_dir/engine-$i.journal")
 done
 for i in 1 2 3; do
   start "service-$i" "$service" --name "service-$i" --data-centre a \
     --entry-hosts "$callers" --token "$target_token" \
     --faults hang,reset,cross,not_admitted --fault-period $((12 + i)) \
-    --journal "$work/service-$i.journal"
-  journals+=(--journal "$work/service-$i.journal")
+    --journal "$work_dir/service-$i.journal"
+  journals+=(--journal "$work_dir/service-$i.journal")
 done
-await_targets "$operators" 8
+wait_for_targets "$operators" 8
 
 "$load" --hosts "$callers" --seconds 20 --max-tokens 20 --whole-share 0.15 \
   --order-share 0.25 --certificate-share 0.1 --leave-share 0.1 \
   --customer large:large-key:60 --customer middle:middle-key:30 \
-  --customer small:small-key:5 "${journals[@]}" >"$work/load.json" &
+  --customer small:small-key:5 "${journals[@]}" >"$work_dir/load.json" &
 load_pid=$!
 sleep 6
 kill -KILL "$pid_engine_1"
 sleep 3
 kill -KILL "$pid_service_1"
 sleep 2
-# A process that is stopped keeps its connections open and says nothing.
+# A stopped process keeps its connections open and sends nothing.
 kill -STOP "$pid_engine_2"
 sleep 4
 kill -CONT "$pid_engine_2"
 wait "$load_pid"
 
-emit faults calls "$(jq .all.calls "$work/load.json")" count
-emit faults answered "$(jq .all.outcomes.answered "$work/load.json")" count
-emit faults wrong_answers "$(jq .check.wrong_answers "$work/load.json")" \
+emit faults calls "$(jq .all.calls "$work_dir/load.json")" count
+emit faults answered "$(jq .all.outcomes.answered "$work_dir/load.json")" count
+emit faults wrong_answers "$(jq .check.wrong_answers "$work_dir/load.json")" \
   count at-most 0
-emit faults false_not_run "$(jq .check.false_not_run "$work/load.json")" \
+emit faults false_not_run "$(jq .check.false_not_run "$work_dir/load.json")" \
   count at-most 0
-emit faults doubled_orders "$(jq .check.doubled_orders "$work/load.json")" \
+emit faults doubled_orders "$(jq .check.doubled_orders "$work_dir/load.json")" \
   count at-most 0
 emit faults calls_without_answer \
-  "$(jq '.all.outcomes.no_answer // 0' "$work/load.json")" count at-most 0
+  "$(jq '.all.outcomes.no_answer // 0' "$work_dir/load.json")" count at-most 0
 
-# Shutdown: long streams run while the router is told to stop.
+# Shutdown: terminate the router while long streams are in progress.
 for i in 3 4 5; do
   kill -TERM "$(eval "echo \$pid_engine_$i")" || true
 done
@@ -67,7 +67,7 @@
 done
 sleep 1
 "$load" --hosts "$callers" --seconds 4 --max-tokens 200 \
-  --customer large:large-key:30 >"$work/shutdown.json" &
+  --customer large:large-key:30 >"$work_dir/shutdown.json" &
 load_pid=$!
 sleep 2
 kill -TERM "$pid_router"
@@ -77,7 +77,7 @@
 set -e
 wait "$load_pid"
 emit faults answered_in_shutdown \
-  "$(jq .all.outcomes.answered "$work/shutdown.json")" count at-least 1
+  "$(jq .all.outcomes.answered "$work_dir/shutdown.json")" count at-least 1
 emit faults cut_by_shutdown "$(jq '.all.outcomes.cut // 0' \
-  "$work/shutdown.json")" count at-most 0
+  "$work_dir/shutdown.json")" count at-most 0
 emit faults shutdown_exit_code "$exit_code" code at-most 0
--- a/scripts/benches/utilisation.sh
+++ b/scripts/benches/utilisation.sh
@@ -1,4 +1,4 @@
-# Share of slots in use while requests wait, with all work at one of five
+# Slot utilisation while requests are queued, with the whole load at one of five
 # routers and targets in four data centres.
 source scripts/lib.sh
 
@@ -12,15 +12,15 @@
 hosts=$(IFS=,; echo "${fleet_callers[*]}")
 "$load" --hosts "$hosts" --model lamp-llm --seconds 22 --max-tokens 20 \
   --customer keretapi-utara:keretapi-utara-key:300:4 \
-  --customer depot-gemas:depot-gemas-key:60:4 >"$work/utilisation.json" &
+  --customer depot-gemas:depot-gemas-key:60:4 >"$work_dir/utilisation.json" &
 load_pid=$!
 sleep 10
-# The engines' own counts: running requests of 36 slots, sampled for 10 s.
+# Output tokens as counted by the engines, over 10 s with 36 slots.
 busy=0
 samples=0
 engines=()
 for i in 1 2 3 4 5 6 7 8 9; do
-  engines+=("$(await_line "lamp-llm-$i")")
+  engines+=("$(wait_for_output "lamp-llm-$i")")
 done
 tokens() {
   local sum=0 engine
@@ -36,13 +36,13 @@
 end_tokens=$(tokens)
 end=$(date +%s.%N)
 wait "$load_pid"
-# A slot yields at most a token in each step of the engine; the step time
-# comes from an engine whose slots are all in use.
+# A slot yields at most one token per engine step. The actual rate per slot is
+# measured at an engine whose slots are all in use.
 for i in 1 2 3 4; do
   "$load" --hosts "${engines[0]}" --model lamp-llm --seconds 3 --max-tokens 20 \
-    --concurrency 4 --customer direct:none:1 --seed "$i" >"$work/direct-$i.json"
+    --concurrency 4 --customer direct:none:1 --seed "$i" >"$work_dir/direct-$i.json"
 done
-per_slot=$(jq -s 'map(.all.tokens / 3 / 4) | add / length' "$work"/direct-*.json)
+per_slot=$(jq -s 'map(.all.tokens / 3 / 4) | add / length' "$work_dir"/direct-*.json)
 emit utilisation busy_share \
-  "$(calc "($end_tokens - $begin_tokens) / ($end - $begin) / 36 / $per_slot")" \
+  "$(evaluate "($end_tokens - $begin_tokens) / ($end - $begin) / 36 / $per_slot")" \
   share at-least 0.97
--- a/scripts/lib.sh
+++ b/scripts/lib.sh
@@ -1,5 +1,5 @@
-# Shared by the scripts that start a small fleet on loopback.
-# Sourced, not run.
+# Functions for scripts that start a small fleet on the loopback interface.
+# To be sourced.
 set -euo pipefail
 
 cd "$(dirname "${BASH_SOURCE[0]}")/.."
@@ -13,10 +13,10 @@
 target_token=demo-target-token
 operator_token=demo-operator-token
 
-work=$(mktemp -d)
+work_dir=$(mktemp -d)
 started=()
 
-# Ends the processes that this script started, and waits for them.
+# Terminates the processes that this script started, and waits for them.
 stop_started() {
   local pid
   for pid in "${started[@]}"; do
@@ -29,7 +29,7 @@
 }
 stop_all() {
   stop_started
-  rm -rf "$work"
+  rm -rf "$work_dir"
 }
 trap stop_all EXIT
 
@@ -37,42 +37,43 @@
   printf %s "$1" | sha256sum | cut -d' ' -f1
 }
 
-# start NAME COMMAND...: runs a process in the background; its first line of
-# output, which names its addresses, goes to $work/NAME.out.
+# start NAME COMMAND...: runs a process in the background. Its output, whose first
+# line contains its addresses, is written to $work_dir/NAME.out.
 start() {
   local name=$1
   shift
-  "$@" >"$work/$name.out" 2>"$work/$name.err" &
+  "$@" >"$work_dir/$name.out" 2>"$work_dir/$name.err" &
   started+=($!)
   printf -v "pid_${name//-/_}" %s $!
 }
 
-# await_line NAME: waits until process NAME has printed a line, and prints it.
-await_line() {
+# wait_for_output NAME: waits for the first output line of process NAME and prints it.
+wait_for_output() {
   local tries
   for ((tries = 0; tries < 200; ++tries)); do
-    if [[ -s $work/$1.out ]]; then
-      head -n 1 "$work/$1.out"
+    if [[ -s $work_dir/$1.out ]]; then
+      head -n 1 "$work_dir/$1.out"
       return
     fi
     sleep 0.05
   done
   echo "$1 did not start:" >&2
-  cat "$work/$1.err" >&2
+  cat "$work_dir/$1.err" >&2
   return 1
 }
 
-# start_daemon NAME SETTINGS: sets callers and operators to its addresses.
+# start_daemon NAME SETTINGS: starts a daemon and sets the variables callers and
+# operators to its addresses.
 start_daemon() {
   start "$1" "$daemon" --settings "$2"
   local line
-  line=$(await_line "$1")
+  line=$(wait_for_output "$1")
   callers=$(jq -r .callers <<<"$line")
   operators=$(jq -r .operators <<<"$line")
 }
 
-# await_targets OPERATORS COUNT: waits until that many targets are ready.
-await_targets() {
+# wait_for_targets OPERATORS COUNT: waits until at least COUNT targets are ready.
+wait_for_targets() {
   local tries ready
   for ((tries = 0; tries < 200; ++tries)); do
     ready=$("$ctl" --address "$1" --token "$operator_token" --json status |
@@ -96,24 +97,24 @@
              else true end)}'
 }
 
-# cpu_seconds PID: processor time that the process has used so far.
+# cpu_seconds PID: prints the CPU time that the process has used so far.
 cpu_seconds() {
   awk -v hz="$(getconf CLK_TCK)" '{ print ($14 + $15) / hz }' "/proc/$1/stat"
 }
 
-# rss_mb PID: resident memory in MB.
+# rss_mb PID: prints the resident memory in MB.
 rss_mb() {
   awk '/^VmRSS/ { print $2 / 1000 }' "/proc/$1/status"
 }
 
-calc() {
+evaluate() {
   awk "BEGIN { print $* }"
 }
 
-# write_settings NAME DATA_CENTRE [LINES]: settings of a router with free ports
-# in $work/NAME.toml, for the sheet in $work/sheet.toml.
+# write_settings NAME DATA_CENTRE [LINES]: writes the settings of a router with
+# ephemeral ports to $work_dir/NAME.toml; they refer to $work_dir/sheet.toml.
 write_settings() {
-  cat >"$work/$1.toml" <<EOF
+  cat >"$work_dir/$1.toml" <<EOF
 daemon = "$1"
 data_centre = "$2"
 region = "bench"
@@ -125,14 +126,14 @@
 targets_sha256 = ["$(hash_key "$target_token")"]
 operators_sha256 = ["$(hash_key "$operator_token")"]
 [log]
-path = "$work/$1.log"
+path = "$work_dir/$1.log"
 level = "${log_level:-info}"
 ${3:-}
 EOF
 }
 
-# write_sheet NAME:SHARE...: a sheet with these customers, whose keys are
-# NAME-key, the model "model" and the service "service".
+# write_sheet NAME:SHARE...: writes $work_dir/sheet.toml with these customers, whose
+# API keys are NAME-key, the model "model" and the service "service".
 write_sheet() {
   {
     printf '[[data_centres]]\nid = "%s"\nregion = "bench"\n' a b c d
@@ -145,10 +146,10 @@
       printf 'models = ["model"]\nservices = ["service"]\n'
       printf 'home_region = "bench"\n'
     done
-  } >"$work/sheet.toml"
+  } >"$work_dir/sheet.toml"
 }
 
-# free_port_base COUNT: first of COUNT consecutive ports that nobody listens on.
+# free_port_base COUNT: prints the first of COUNT consecutive unused ports.
 free_port_base() {
   local base
   for ((base = 21000; base < 60000; base += $1)); do
@@ -162,8 +163,8 @@
   done
 }
 
-# start_fleet REGION NAME:DATA_CENTRE:ROLE...: routers that know one another.
-# Sets the arrays fleet_callers and fleet_operators, and fleet_pids.
+# start_fleet REGION NAME:DATA_CENTRE:ROLE...: starts routers that are peers of one
+# another and sets the arrays fleet_callers, fleet_operators and fleet_pids.
 start_fleet() {
   local region=$1 base entry other i=0 peers name
   shift
@@ -179,23 +180,24 @@
     done
     fleet_settings "$name" "$data_centre" "$region" "$role" "$peers" \
       "$((base + i))"
-    start "$name" "$daemon" --settings "$work/$name.toml"
+    start "$name" "$daemon" --settings "$work_dir/$name.toml"
     fleet_pids+=("${started[-1]}")
     ((++i))
   done
   for entry in "$@"; do
     local line
-    line=$(await_line "${entry%%:*}")
+    line=$(wait_for_output "${entry%%:*}")
     fleet_callers+=("$(jq -r .callers <<<"$line")")
     fleet_operators+=("$(jq -r .operators <<<"$line")")
   done
 }
 
-# fleet_settings NAME DATA_CENTRE REGION ROLE PEERS PEER_PORT
+# fleet_settings NAME DATA_CENTRE REGION ROLE PEERS PEER_PORT: writes the settings
+# of one router of a fleet. An empty ROLE adds none to "router".
 fleet_settings() {
   local roles='"router"'
   [[ -z $4 ]] || roles+=", \"$4\""
-  cat >"$work/$1.toml" <<EOF
+  cat >"$work_dir/$1.toml" <<EOF
 daemon = "$1"
 data_centre = "$2"
 region = "$3"
@@ -210,20 +212,21 @@
 targets_sha256 = ["$(hash_key "$target_token")"]
 operators_sha256 = ["$(hash_key "$operator_token")"]
 [log]
-path = "$work/$1.log"
+path = "$work_dir/$1.log"
 [limits]
 max_queued_per_customer = ${max_queued:-64}
 ${fleet_extra:-}
 EOF
 }
 
-# example_sheet DIR: the example's sheet, which also names data centres.
+# example_sheet DIR: copies the sheet of an example, which also lists its data
+# centres.
 example_sheet() {
-  cp "$1/sheet.toml" "$work/sheet.toml"
+  cp "$1/sheet.toml" "$work_dir/sheet.toml"
 }
 
-# start_example_targets DIR STEP_US TOKENS: the replicas of an example, at half
-# size in slots; engines take STEP_US a step.
+# start_example_targets DIR STEP_US: starts the replicas of an example with half
+# of the slots; engine steps take STEP_US microseconds.
 start_example_targets() {
   local hosts pool name data_centre
   hosts=$(IFS=,; echo "${fleet_callers[*]}")
@@ -234,21 +237,21 @@
       *-desk)
         start "$name" "$service" --name "$name" --service "$pool" \
           --data-centre "$data_centre" --entry-hosts "$hosts" \
-          --token "$target_token" --journal "$work/$name.journal"
+          --token "$target_token" --journal "$work_dir/$name.journal"
         ;;
       *)
         start "$name" "$engine" --name "$name" --models "$pool" \
           --data-centre "$data_centre" --entry-hosts "$hosts" \
           --token "$target_token" --step-us "$2" --step-per-sequence-us 0 \
           --slots "${slots:-4}" --cold-slots "${cold_slots:-2}" \
-          --cold-ms "${cold_ms:-1000}" --journal "$work/$name.journal"
+          --cold-ms "${cold_ms:-1000}" --journal "$work_dir/$name.journal"
         ;;
     esac
     ((++target_count))
   done <"$1/targets.txt"
 }
 
-# prepare_control_hosts COUNT: free ports for that many control hosts.
+# prepare_control_hosts COUNT: allocates ports for COUNT control hosts.
 prepare_control_hosts() {
   control_count=$1
   control_base=$(free_port_base $((3 * control_count)))
@@ -256,7 +259,8 @@
   version=0
 }
 
-# control_seeds: addresses of the first three control hosts, as TOML strings.
+# control_seeds: prints the peer addresses of the first three control hosts as
+# TOML strings.
 control_seeds() {
   local i seeds=""
   for ((i = 0; i < 3; ++i)); do
@@ -265,15 +269,15 @@
   echo "$seeds"
 }
 
-# control_settings INDEX FIRST_START: settings of one control host.
+# control_settings INDEX FIRST_START: writes the settings of one control host.
 control_settings() {
-  cat >"$work/c$1.toml" <<EOF
+  cat >"$work_dir/c$1.toml" <<EOF
 interface = "routes"
 daemon = "c$1"
 data_centre = "a"
 region = "bench"
 roles = ["control"]
-data_folder = "$work/data-c$1"
+data_folder = "$work_dir/data-c$1"
 [listen]
 commands = "127.0.0.1:$((control_base + $1))"
 peers = "127.0.0.1:$((control_base + control_count + $1))"
@@ -286,20 +290,22 @@
 targets_sha256 = ["$(hash_key "$target_token")"]
 operators_sha256 = ["$(hash_key "$operator_token")"]
 [log]
-path = "$work/c$1.log"
+path = "$work_dir/c$1.log"
 EOF
 }
 
-# start_control INDEX: as it is configured, on the disk that it has.
+# start_control INDEX: starts a control host with its present settings and data
+# folder.
 start_control() {
-  mkdir -p "$work/data-c$1"
-  start "c$1" "$daemon" --settings "$work/c$1.toml"
+  mkdir -p "$work_dir/data-c$1"
+  start "c$1" "$daemon" --settings "$work_dir/c$1.toml"
   control_pids[$1]=${started[-1]}
 }
 
-# routes_router_settings NAME: a router that finds these control hosts.
+# routes_router_settings NAME: writes the settings of a router that uses these
+# control hosts.
 routes_router_settings() {
-  cat >"$work/$1.toml" <<EOF
+  cat >"$work_dir/$1.toml" <<EOF
 interface = "routes"
 daemon = "$1"
 data_centre = "a"
@@ -310,11 +316,12 @@
 [control]
 hosts = [$(control_seeds)]
 [log]
-path = "$work/$1.log"
+path = "$work_dir/$1.log"
 EOF
 }
 
-# start_numbered_service NAME: a stand-in that announces to the control hosts.
+# start_numbered_service NAME: starts a simulated service that announces itself to
+# the control hosts.
 start_numbered_service() {
   local i hosts=""
   for ((i = 0; i < 3; ++i)); do
@@ -324,9 +331,9 @@
     --entry-hosts "$hosts" --token "$target_token" --cold-slots 16
 }
 
-# apply_once INDEX: puts configuration $version in force through one host.
-apply_once() {
-  cat >"$work/configuration.json" <<EOF
+# apply_configuration INDEX: applies configuration $version through one control host.
+apply_configuration() {
+  cat >"$work_dir/configuration.json" <<EOF
 {"version": $version,
  "routes": [{"name": "stock", "host_name": "desk.example",
              "path_prefix": "/stock/", "kind": "idempotent",
@@ -336,24 +343,24 @@
 EOF
   "$ctl" --address "127.0.0.1:$((control_base + $1))" \
     --token "$operator_token" --timeout 1 \
-    config apply "$work/configuration.json" >"$work/apply.out" 2>&1
+    config apply "$work_dir/configuration.json" >"$work_dir/apply.out" 2>&1
 }
 
-# apply_anywhere: the same through the first of three hosts that accepts it.
-apply_anywhere() {
+# apply_to_any_host: applies it through the first of three hosts that accepts it.
+apply_to_any_host() {
   local i
   for i in 0 1 2; do
-    ! apply_once "$i" || return 0
+    ! apply_configuration "$i" || return 0
   done
   return 1
 }
 
-# bytes_sent PID: bytes that the process has sent on the TCP connections that it
-# has open.
+# bytes_sent PID: prints the number of bytes that the process has sent on its open
+# TCP connections.
 bytes_sent() {
   ss -tinpH | awk -v pid="pid=$1," '
-    /^[A-Z]/ { mine = index($0, pid) > 0; next }
-    mine && match($0, /bytes_sent:[0-9]+/) {
+    /^[A-Z]/ { matches = index($0, pid) > 0; next }
+    matches && match($0, /bytes_sent:[0-9]+/) {
       sum += substr($0, RSTART + 11, RLENGTH - 11)
     }
     END { print sum + 0 }'
