--- a/tools/stand_in/journal.h
+++ b/tools/stand_in/journal.h
@@ -1,5 +1,5 @@
-// File of the requests and orders that a simulated target has executed. The
-// file survives a crash of the target.
+// Journal file of the requests that a simulated target has started and the
+// orders that it has executed. The file survives a crash of the target.
 #pragma once
 
 #include <fstream>
@@ -22,7 +22,7 @@
   std::ofstream out_;
 };
 
-/// Number of executions by request ID and by order key.
+/// Number of starts of each request and of executions of each order.
 struct journal_counts {
   std::map<std::string, std::uint32_t> requests;
   std::map<std::string, std::uint32_t> orders;
--- a/tools/stand_in/target_process.cc
+++ b/tools/stand_in/target_process.cc
@@ -39,10 +39,11 @@
                  "Age of the reported load in milliseconds");
   app.add_option("--faults", options.faults,
                  "Comma-separated kinds of periodic faults");
-  app.add_option("--fault-period", options.fault_period,
-                 "Number of requests per periodic fault; 0 disables them");
+  app.add_option(
+      "--fault-period", options.fault_period,
+      "Inject a fault into every n-th request; 0 disables periodic faults");
   app.add_option("--journal", options.journal,
-                 "File that records executed requests and orders");
+                 "File that records started requests and executed orders");
 }
 
 fault_plan MakeFaultPlan(const target_options& options) {
