--- a/src/framework/codec/cbor_types.h
+++ b/src/framework/codec/cbor_types.h
@@ -1,4 +1,4 @@
-// Conversions of the framework's types for nlohmann::json, which encodes CBOR.
+// nlohmann::json conversions of the framework's types, used for CBOR encoding.
 #pragma once
 
 #include <stdexcept>
@@ -31,9 +31,9 @@
   value = *parsed;
 }
 
-/// Throws if some number in `j` is a fraction that no integer type here can
-/// hold: readers of integers would convert it without a check.
-inline void CheckFractions(const nlohmann::json& j) {
+/// Throws if a floating-point number in `j` is outside the range accepted for
+/// integers: nlohmann::json converts it to an integer without a range check.
+inline void CheckFloatRange(const nlohmann::json& j) {
   constexpr double kLimit = 2147483648.0;
   if (j.is_number_float()) {
     const auto value = j.get<double>();
@@ -44,19 +44,19 @@
   }
   if (j.is_structured()) {
     for (const nlohmann::json& element : j) {
-      CheckFractions(element);
+      CheckFloatRange(element);
     }
   }
 }
 
-/// Reads CBOR; throws if it is malformed.
+/// Parses CBOR; throws if it is malformed.
 inline nlohmann::json ParseCbor(std::string_view bytes) {
   nlohmann::json j = nlohmann::json::from_cbor(bytes);
-  CheckFractions(j);
+  CheckFloatRange(j);
   return j;
 }
 
-/// Reads an enumerator; throws if it is not one.
+/// Converts a number to an enumerator; throws if it is greater than `last`.
 template <typename Enum>
 Enum ToEnum(const nlohmann::json& j, Enum last) {
   const auto value = j.get<unsigned>();
--- a/src/framework/codec/internal/member_reader.cc
+++ b/src/framework/codec/internal/member_reader.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/codec/member_reader.h"
 
 #include <utility>
@@ -8,9 +7,9 @@
 using nlohmann::json;
 
 member_reader::member_reader(const json& value,
-                             std::string place,
+                             std::string path,
                              std::string& problem)
-    : value_(value), place_(std::move(place)), problem_(problem) {
+    : value_(value), path_(std::move(path)), problem_(problem) {
   if (!value_.is_object()) {
     Fail("", "must be an object");
   }
@@ -108,7 +107,7 @@
     Fail(key, "must be a list of objects");
     return readers;
   }
-  const std::string list = place_.empty() ? key : place_ + "." + key;
+  const std::string list = path_.empty() ? key : path_ + "." + key;
   for (std::size_t i = 0; i < member->size(); ++i) {
     readers.emplace_back((*member)[i], list + "[" + std::to_string(i) + "]",
                          problem_);
@@ -117,7 +116,7 @@
 }
 
 const json* member_reader::Find(const char* key) {
-  known_.insert(key);
+  looked_up_.insert(key);
   if (!value_.is_object()) {
     return nullptr;
   }
@@ -129,8 +128,8 @@
   if (!problem_.empty()) {
     return;
   }
-  problem_ = place_;
-  if (!place_.empty() && !key.empty()) {
+  problem_ = path_;
+  if (!path_.empty() && !key.empty()) {
     problem_ += '.';
   }
   problem_ += key;
@@ -143,7 +142,7 @@
     return;
   }
   for (const auto& [key, member] : value_.items()) {
-    if (!known_.contains(key)) {
+    if (!looked_up_.contains(key)) {
       Fail(key, "is not known");
     }
   }
--- a/src/framework/codec/member_reader.h
+++ b/src/framework/codec/member_reader.h
@@ -1,5 +1,5 @@
-// Reads the members of JSON objects that people or other programs have written,
-// and keeps the first problem with the place where it was found.
+// Reads and validates the members of JSON objects from external sources, and
+// records the first problem with the path of the member.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,17 @@
 
 namespace burdocklock {
 
-/// Members that are missing or of another type than asked for give the
-/// fallback, or a value without meaning if there is none; the problem says so.
+/// A missing member yields the fallback. A missing member without a fallback,
+/// or one of the wrong type, yields an unspecified value and records a problem.
 class member_reader {
  public:
   /// `value` and `problem` must outlive the reader; all readers of a document
-  /// share `problem`. `place` is the object's path, empty for the document.
+  /// share `problem`. `path` is the object's path, empty for the document.
   member_reader(const nlohmann::json& value,
-                std::string place,
+                std::string path,
                 std::string& problem);
 
-  /// A string that is not empty.
+  /// A non-empty string.
   std::string String(const char* key);
   std::string StringOr(const char* key, std::string fallback);
   std::uint64_t Unsigned(const char* key, std::uint64_t min, std::uint64_t max);
@@ -30,26 +30,26 @@
                            std::uint64_t fallback,
                            std::uint64_t min,
                            std::uint64_t max);
-  /// A number that is not negative.
+  /// A non-negative number.
   double Number(const char* key);
   double NumberOr(const char* key, double fallback);
   bool FlagOr(const char* key, bool fallback);
-  /// Strings of a list; none if the member is absent.
+  /// The strings of an array; empty if the member is absent.
   std::vector<std::string> Strings(const char* key);
-  /// Readers for the objects of a list; none if the member is absent.
+  /// Readers for the objects of an array; empty if the member is absent.
   std::vector<member_reader> Objects(const char* key);
 
-  /// The member, or nullptr.
+  /// Returns the member, or nullptr if it is absent.
   const nlohmann::json* Find(const char* key);
   void Fail(std::string_view key, const char* what);
-  /// Reports a member that was not asked for.
+  /// Records a problem for a member that no call has looked up.
   void RejectOthers();
 
  private:
   const nlohmann::json& value_;
-  std::string place_;
+  std::string path_;
   std::string& problem_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> looked_up_;
 };
 
 }  // namespace burdocklock
--- a/src/framework/fiber/fiber_thread.h
+++ b/src/framework/fiber/fiber_thread.h
@@ -1,6 +1,6 @@
-// Runs fibers and Asio on the calling thread, joined without polling: when no
-// fiber is ready the thread blocks in the io_context until a completion, a
-// posted task or the next fiber deadline.
+// Runs fibers and an Asio io_context on the calling thread without polling:
+// when no fiber is ready, the thread blocks in the io_context until a
+// completion, a posted task or the next fiber deadline.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,8 @@
 namespace burdocklock {
 
 /// Installs the scheduler on this thread and runs `main` as its first fiber.
-/// Returns when `main` returns and all fibers started with `SpawnFiber` ended.
+/// Returns when `main` has returned and all fibers started with `SpawnFiber`
+/// have finished.
 void RunFiberThread(boost::asio::io_context& context,
                     const std::function<void()>& main);
 
--- a/src/framework/fiber/internal/asio_scheduler.cc
+++ b/src/framework/fiber/internal/asio_scheduler.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/fiber/internal/asio_scheduler.h"
 
 #include <boost/asio/post.hpp>
@@ -32,7 +31,7 @@
   } else {
     context_.run_one_until(deadline);
   }
-  // Takes what else has completed, so that one wait serves several fibers.
+  // Runs all other ready handlers, so that one wait can resume several fibers.
   context_.poll();
 }
 
--- a/src/framework/fiber/internal/asio_scheduler.h
+++ b/src/framework/fiber/internal/asio_scheduler.h
@@ -1,4 +1,5 @@
-// Boost.Fiber scheduling algorithm whose idle state is the io_context.
+// Boost.Fiber scheduling algorithm that runs the io_context while no fiber is
+// ready.
 #pragma once
 
 #include <chrono>
@@ -11,9 +12,9 @@
 
 namespace burdocklock {
 
-/// Round robin over the ready fibers. Completion handlers run only while no
-/// fiber is ready, on the stack of the dispatcher fiber, so they never run
-/// concurrently with a fiber of the same thread.
+/// Round-robin scheduling of the ready fibers. Completion handlers run only
+/// while no fiber is ready, on the stack of the dispatcher fiber, so they never
+/// run concurrently with a fiber of the same thread.
 class asio_scheduler : public boost::fibers::algo::algorithm {
  public:
   explicit asio_scheduler(boost::asio::io_context& context);
--- a/src/framework/fiber/internal/fiber_thread.cc
+++ b/src/framework/fiber/internal/fiber_thread.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/fiber/fiber_thread.h"
 
 #include <utility>
@@ -17,11 +16,11 @@
 
 constexpr std::size_t kStackBytes = 256 * 1024;
 
-// Counts the detached fibers of one thread, so that it can wait for them.
+// Number of detached fibers of one thread; RunFiberThread waits until it is 0.
 struct fiber_count {
   std::size_t running = 0;
   boost::fibers::mutex mutex;
-  boost::fibers::condition_variable none_left;
+  boost::fibers::condition_variable all_finished;
 };
 
 thread_local fiber_count* current_count = nullptr;
@@ -35,7 +34,7 @@
   current_count = &count;
   main();
   std::unique_lock lock(count.mutex);
-  count.none_left.wait(lock, [&count] { return count.running == 0; });
+  count.all_finished.wait(lock, [&count] { return count.running == 0; });
 }
 
 void SpawnFiber(std::function<void()> body) {
@@ -46,7 +45,7 @@
                        [count, body = std::move(body)] {
                          body();
                          if (--count->running == 0) {
-                           count->none_left.notify_all();
+                           count->all_finished.notify_all();
                          }
                        })
       .detach();
--- a/src/framework/fiber/internal/sleep.cc
+++ b/src/framework/fiber/internal/sleep.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/fiber/sleep.h"
 
 #include <boost/asio/steady_timer.hpp>
--- a/src/framework/fiber/sleep.h
+++ b/src/framework/fiber/sleep.h
@@ -1,4 +1,4 @@
-// Timed waits of fibers.
+// Timed waits for fibers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,7 +7,8 @@
 
 namespace burdocklock {
 
-/// Suspends the calling fiber; the thread goes on with others.
+/// Suspends the calling fiber for `time`; other fibers of the thread keep
+/// running.
 void SleepFor(boost::asio::io_context& io, duration time);
 
 }  // namespace burdocklock
--- a/src/framework/fiber/use_fiber.h
+++ b/src/framework/fiber/use_fiber.h
@@ -1,5 +1,5 @@
 // Asio completion token that suspends the calling fiber until the operation
-// has completed. Handlers run on the fiber's own thread (asio_scheduler.h), so
+// completes. Handlers run on the fiber's own thread (asio_scheduler.h), so
 // no locks are needed.
 #pragma once
 
@@ -15,7 +15,7 @@
 struct use_fiber_t {};
 inline constexpr use_fiber_t use_fiber;
 
-/// Completion of an operation that yields a value.
+/// Result of an asynchronous operation that yields a value.
 template <typename T>
 struct io_result {
   boost::system::error_code ec;
--- a/src/framework/i_random.h
+++ b/src/framework/i_random.h
@@ -1,4 +1,4 @@
-// Port: source of randomness for decision modules.
+// Interface to the random number generator of the decision modules.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,8 @@
  public:
   virtual ~i_random() = default;
 
-  /// Uniformly distributed integer in [0, bound); `bound` must be positive.
+  /// Returns a uniformly distributed integer in [0, bound); `bound` must be
+  /// positive.
   virtual std::uint32_t Below(std::uint32_t bound) = 0;
 };
 
--- a/src/framework/logging/boost_logger.h
+++ b/src/framework/logging/boost_logger.h
@@ -1,4 +1,4 @@
-// Log adapter: JSON lines through Boost.Log's asynchronous sink.
+// Logger that writes JSON lines through Boost.Log's asynchronous sink.
 #pragma once
 
 #include <memory>
@@ -9,17 +9,18 @@
 namespace burdocklock {
 
 struct boost_logger_options {
-  /// File to append to; standard error if empty, standard output if "stdout".
+  /// Log file, opened for appending; empty for standard error, "stdout" for
+  /// standard output.
   std::string path;
   log_level min_level = log_level::kInfo;
-  /// Value of the "daemon" field of each line; left out if empty.
+  /// Value of the "daemon" field of each line; the field is omitted if empty.
   std::string daemon;
 };
 
 class boost_logger : public i_logger {
  public:
   explicit boost_logger(boost_logger_options options);
-  /// Writes what is buffered before it returns.
+  /// Flushes buffered records.
   ~boost_logger() override;
 
   void Log(const log_record& record) override;
@@ -29,7 +30,7 @@
   std::unique_ptr<state> state_;
 };
 
-/// The record as one JSON object without a line break.
+/// Formats the record as one JSON object without line breaks.
 std::string FormatLogLine(const log_record& record,
                           const std::string& daemon,
                           std::string_view timestamp);
--- a/src/framework/logging/i_logger.h
+++ b/src/framework/logging/i_logger.h
@@ -1,4 +1,4 @@
-// Port: structured log. One record becomes one JSON line.
+// Structured logging interface. Each record is written as one JSON line.
 #pragma once
 
 #include <concepts>
@@ -16,7 +16,7 @@
 using log_value = std::
     variant<bool, std::int64_t, double, std::string, std::vector<std::string>>;
 
-/// One log line: an event name and typed fields, in order.
+/// An event name and an ordered list of typed fields.
 class log_record {
  public:
   explicit log_record(std::string_view event,
@@ -66,7 +66,7 @@
  public:
   virtual ~i_logger() = default;
 
-  /// Writes one record. Safe to call from any thread; does not block on disk.
+  /// Writes one record. Thread-safe; does not block on disk I/O.
   virtual void Log(const log_record& record) = 0;
 };
 
--- a/src/framework/logging/internal/boost_logger.cc
+++ b/src/framework/logging/internal/boost_logger.cc
@@ -1,4 +1,3 @@
-// Formats records as JSON and hands them to Boost.Log.
 #include "framework/logging/boost_logger.h"
 
 #include <chrono>
@@ -23,8 +22,8 @@
 namespace {
 
 using log_backend = boost::log::sinks::text_ostream_backend;
-// Lines that the sink cannot take in time are dropped, so that logging never
-// blocks and its memory is bounded.
+// When the queue of the sink is full, new lines are dropped, so that logging
+// never blocks and its memory use is bounded.
 constexpr std::size_t kMaxQueuedLines = 8192;
 using log_sink = boost::log::sinks::asynchronous_sink<
     log_backend,
@@ -78,7 +77,7 @@
   for (const auto& [key, value] : record.fields()) {
     std::visit([&line, &key = key](const auto& v) { line[key] = v; }, value);
   }
-  // Bytes that are not UTF-8 must not end the process.
+  // Replaces invalid UTF-8: an exception here would terminate the process.
   return line.dump(-1, ' ', false,
                    nlohmann::ordered_json::error_handler_t::replace);
 }
--- a/src/framework/metrics/internal/latency_histogram.cc
+++ b/src/framework/metrics/internal/latency_histogram.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/metrics/latency_histogram.h"
 
 #include <algorithm>
--- a/src/framework/metrics/internal/metric_registry.cc
+++ b/src/framework/metrics/internal/metric_registry.cc
@@ -1,4 +1,4 @@
-// See the header. Text format: https://prometheus.io/docs/instrumenting/
+// Text format: https://prometheus.io/docs/instrumenting/
 // exposition_formats/
 #include "framework/metrics/metric_registry.h"
 
@@ -34,19 +34,19 @@
   return text;
 }
 
-std::string Braced(const std::string& labels) {
+std::string WithBraces(const std::string& labels) {
   return labels.empty() ? std::string() : "{" + labels + "}";
 }
 
-// The labels with one more.
-std::string Extended(const std::string& labels,
-                     const std::string& key,
-                     const std::string& value) {
+// Appends one label and encloses all of them in braces.
+std::string WithLabel(const std::string& labels,
+                      const std::string& key,
+                      const std::string& value) {
   return "{" + labels + (labels.empty() ? "" : ",") + key + "=\"" + value +
          "\"}";
 }
 
-std::string Shortest(double value) {
+std::string FormatNumber(double value) {
   std::ostringstream text;
   text << value;
   return text.str();
@@ -60,13 +60,13 @@
   const auto counts = histogram.Cumulative();
   for (std::size_t i = 0; i < kLatencyBounds.size(); ++i) {
     out << name << "_bucket"
-        << Extended(labels, "le", Shortest(kLatencyBounds[i])) << ' '
+        << WithLabel(labels, "le", FormatNumber(kLatencyBounds[i])) << ' '
         << counts[i] << '\n';
   }
-  out << name << "_bucket" << Extended(labels, "le", "+Inf") << ' '
+  out << name << "_bucket" << WithLabel(labels, "le", "+Inf") << ' '
       << values.count << '\n'
-      << name << "_sum" << Braced(labels) << ' ' << values.sum << '\n'
-      << name << "_count" << Braced(labels) << ' ' << values.count << '\n';
+      << name << "_sum" << WithBraces(labels) << ' ' << values.sum << '\n'
+      << name << "_count" << WithBraces(labels) << ' ' << values.count << '\n';
 }
 
 }  // namespace
@@ -91,7 +91,7 @@
   for (const auto& [name, by_labels] : counters_) {
     out << "# TYPE " << name << " counter\n";
     for (const auto& [labels, value] : by_labels) {
-      out << name << Braced(labels) << ' ' << value << '\n';
+      out << name << WithBraces(labels) << ' ' << value << '\n';
     }
   }
   for (const auto& [name, read] : gauges_) {
@@ -110,8 +110,8 @@
       RenderHistogram(out, name, labels, histogram, values);
       for (std::size_t i = 0; i < kQuantiles.size(); ++i) {
         recent << name << "_recent"
-               << Extended(labels, "quantile", Shortest(kQuantiles[i])) << ' '
-               << values.quantiles[i] << '\n';
+               << WithLabel(labels, "quantile", FormatNumber(kQuantiles[i]))
+               << ' ' << values.quantiles[i] << '\n';
       }
     }
     out << "# TYPE " << name << "_recent gauge\n" << recent.str();
--- a/src/framework/metrics/internal/rolling_summary.cc
+++ b/src/framework/metrics/internal/rolling_summary.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/metrics/rolling_summary.h"
 
 #include <utility>
--- a/src/framework/metrics/metric_registry.h
+++ b/src/framework/metrics/metric_registry.h
@@ -1,5 +1,5 @@
 // Named counters, gauges and latency histograms with Prometheus text output.
-// Not thread-safe: it belongs to the control thread.
+// Not thread-safe; used only on the control thread.
 #pragma once
 
 #include <cstdint>
@@ -24,22 +24,22 @@
  public:
   using labels = std::vector<metric_label>;
 
-  /// The counter of that name and labels; created at zero. The reference stays
-  /// valid for the registry's life.
+  /// Returns the counter with that name and labels, created with value 0 on
+  /// first use. The reference is valid for the lifetime of the registry.
   std::uint64_t& Counter(std::string_view name, const labels& labels = {});
-  /// As `Counter`. Rendered as a histogram of that name and, with the suffix
-  /// `_recent`, as a gauge of the recent percentiles; both in seconds.
+  /// Like `Counter`. Rendered as a histogram with that name and as a gauge of
+  /// the recent percentiles with the suffix `_recent`; both in seconds.
   latency_histogram& Latency(std::string_view name, const labels& labels = {});
-  /// Registers a value that is read when metrics are rendered.
+  /// Registers a gauge; `read` is called when metrics are rendered.
   void Gauge(std::string_view name, std::function<double()> read);
 
-  /// All metrics in Prometheus text format 0.0.4.
+  /// Renders all metrics in Prometheus text format 0.0.4.
   std::string Render(time_point now);
 
  private:
   void RenderLatencies(std::ostream& out, time_point now);
 
-  // Keyed by name, then by rendered labels, so that output is sorted.
+  // Keyed by name, then by rendered labels, so that the output is sorted.
   template <typename T>
   using series = std::map<std::string, std::map<std::string, T>, std::less<>>;
 
--- a/src/framework/metrics/rolling_summary.h
+++ b/src/framework/metrics/rolling_summary.h
@@ -1,4 +1,4 @@
-// Count, sum and percentiles of a series, by Boost.Accumulators.
+// Count, sum and percentiles of a series, computed with Boost.Accumulators.
 #pragma once
 
 #include <array>
@@ -21,12 +21,13 @@
   std::uint64_t count = 0;
   double sum = 0;
   double max = 0;
-  /// In the order of `kQuantiles`; zero while nothing was observed.
+  /// In the order of `kQuantiles`; zero if the window has no observations.
   std::array<double, kQuantiles.size()> quantiles{};
 };
 
-/// Count and sum cover the process's life; percentiles and maximum cover the
-/// last complete window, or the running one until the first is complete.
+/// Count and sum cover the time since the process started; percentiles and
+/// maximum cover the last complete window, or the current window if the
+/// previous one has no observations.
 class rolling_summary {
  public:
   static constexpr duration kWindow = std::chrono::seconds(60);
--- a/src/framework/net/http_client.h
+++ b/src/framework/net/http_client.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 client connection on fibers.
+// Fiber-based HTTP/1.1 client connection.
 #pragma once
 
 #include <chrono>
@@ -14,7 +14,7 @@
 
 namespace burdocklock::net {
 
-/// The head of a response whose body is still to be read.
+/// Status and header fields of a response whose body has not been read yet.
 struct http_response_head {
   unsigned status = 0;
   http::fields fields;
@@ -22,32 +22,33 @@
 
 /// One connection with at most one request in flight. All members must be
 /// called from fibers of the thread that runs the io_context; `Close` may be
-/// called from another fiber or handler of that thread and makes the pending
-/// call fail.
+/// called from another fiber or handler of that thread and fails the pending
+/// call.
 class http_client {
  public:
   explicit http_client(asio::io_context& context);
   ~http_client();
 
   result<void> Connect(const endpoint& peer);
-  /// Sends a request. After a failure some of it may have been received.
+  /// Sends a request. If it fails, the peer may have received a part of it.
   result<void> Send(http_request& request);
-  /// Reads up to the end of the head.
+  /// Reads the status line and the header fields.
   result<http_response_head> ReadHead(std::uint32_t max_body_bytes);
-  /// Reads some of the body into `buffer`, which must not be empty. Zero at
-  /// the end of the body.
+  /// Reads a part of the body into `buffer`, which must not be empty. Returns 0
+  /// at the end of the body.
   result<std::size_t> ReadSome(char* buffer, std::size_t size);
-  /// True once the body was read to its end.
+  /// True once the body has been read completely.
   [[nodiscard]] bool AtEnd() const;
   /// True if the connection can carry another request.
   [[nodiscard]] bool Reusable() const;
-  /// How long the peer keeps the connection idle, by the last answer's
-  /// Keep-Alive field; nullopt if it did not say.
+  /// How long the peer keeps an idle connection open, from the Keep-Alive field
+  /// of the last response; nullopt if the field has no timeout.
   [[nodiscard]] std::optional<std::chrono::seconds> idle_limit() const;
-  /// True if nothing arrived on the idle connection and it is not closed.
+  /// True if the idle connection is open and has no unread input.
   [[nodiscard]] bool IsQuiet();
 
-  /// Fails pending and later calls that take longer than this in all.
+  /// Sets one deadline for pending and later calls together; they fail after
+  /// it.
   void ExpiresAfter(duration timeout);
   void ExpiresNever();
   void Close();
@@ -68,7 +69,7 @@
   std::string body;
 };
 
-/// Sends one request on a new connection and reads the whole answer.
+/// Sends one request on a new connection and reads the complete response.
 result<http_reply> Fetch(asio::io_context& context,
                          const endpoint& peer,
                          http_request request,
--- a/src/framework/net/http_server.h
+++ b/src/framework/net/http_server.h
@@ -1,5 +1,5 @@
-// HTTP/1.1 server on fibers: one fiber for each connection, all on the thread
-// that starts it.
+// Fiber-based HTTP/1.1 server: one fiber per connection, all on the thread that
+// starts the server.
 #pragma once
 
 #include <atomic>
@@ -14,18 +14,18 @@
 
 namespace burdocklock::net {
 
-/// A connection as handlers see it.
+/// A server-side connection, as passed to handlers.
 struct http_connection {
   tcp_stream stream;
-  /// Bytes read beyond the current request.
+  /// Bytes received after the end of the current request.
   beast::flat_buffer buffer;
   duration write_timeout{};
   /// True while no request is being read or handled.
   bool idle = true;
-  /// True once a request was handled.
+  /// True once a request has been handled.
   bool used = false;
 
-  /// Writes a whole response; false if the peer did not take it in time.
+  /// Writes a complete response; returns false on an error or a timeout.
   bool Write(http_response& response);
 };
 
@@ -35,15 +35,15 @@
  public:
   virtual ~i_http_handler() = default;
 
-  /// Answers one request. Runs on the connection's fiber and may block it.
+  /// Handles one request. Runs on the connection's fiber and may block it.
   virtual keep_alive Handle(http_connection& connection,
                             http_request& request) = 0;
-  /// A request could not be read; `code` is kMalformed or kTooLarge. The
-  /// connection is closed afterwards.
+  /// Called when a request cannot be read; `code` is kMalformed or kTooLarge.
+  /// The connection is closed afterwards.
   virtual void OnBadRequest(http_connection& connection, error_code code) = 0;
 };
 
-/// Bounds on what callers may send.
+/// Size limits and timeouts for incoming requests.
 struct http_limits {
   std::uint32_t max_header_bytes = 16 * 1024;
   std::uint32_t max_body_bytes = 4 * 1024 * 1024;
@@ -53,14 +53,14 @@
 
 struct http_server_options {
   endpoint listen;
-  /// Lets several threads listen on one port.
+  /// Sets SO_REUSEPORT, so that several threads can listen on one port.
   bool share_port = false;
   http_limits limits;
-  /// If set, asked before each request instead of `limits`.
+  /// If set, called before each request and used instead of `limits`.
   std::function<http_limits()> current_limits;
   duration write_timeout = std::chrono::seconds(30);
   std::uint32_t max_connections = 4096;
-  /// Open connections, counted over all servers that share it.
+  /// Number of open connections across all servers that share the counter.
   std::atomic<std::uint32_t>* connection_count = nullptr;
 };
 
@@ -72,12 +72,13 @@
               i_http_handler& handler);
   ~http_server();
 
-  /// Binds and starts to accept. The error names the address.
+  /// Binds and starts accepting. Returns the bound address; an error contains
+  /// the address.
   result<endpoint> Start();
-  /// Closes connections that wait for a further request, and goes on to accept.
+  /// Closes connections that wait for a subsequent request; keeps accepting.
   void CloseIdle();
-  /// Stops to accept and closes idle connections; others end after the
-  /// request that they are handling.
+  /// Stops accepting and closes idle connections; busy connections close after
+  /// their current request.
   void Stop();
 
  private:
--- a/src/framework/net/http_types.h
+++ b/src/framework/net/http_types.h
@@ -1,4 +1,4 @@
-// Names of the Beast types used throughout, without the code behind them.
+// Aliases for Asio and Beast types, without the headers of the I/O operations.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,7 +23,7 @@
 using http_request = http::request<http::string_body>;
 using http_response = http::response<http::string_body>;
 
-/// Converts to Asio's form; the address must be valid.
+/// Converts to an Asio endpoint; the address must be valid.
 inline asio::ip::tcp::endpoint ToTcp(const endpoint& endpoint) {
   return {asio::ip::make_address(endpoint.address), endpoint.port};
 }
--- a/src/framework/net/internal/http_client.cc
+++ b/src/framework/net/internal/http_client.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/net/http_client.h"
 
 #include <array>
@@ -108,8 +107,8 @@
 }
 
 result<std::size_t> http_client::ReadSome(char* buffer, std::size_t size) {
-  // Beast's composed read costs more than the parsing of a small piece, so the
-  // parser is fed here.
+  // Beast's composed read operation costs more than parsing a small part of the
+  // body, so this function reads from the socket and calls the parser directly.
   response_parser& parser = *state_->parser;
   auto& body = parser.get().body();
   while (!parser.is_done()) {
--- a/src/framework/net/internal/http_server.cc
+++ b/src/framework/net/internal/http_server.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/net/http_server.h"
 
 #include <optional>
@@ -23,7 +22,8 @@
 using reuse_port =
     asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-// Wait before the next accept when the process is out of descriptors.
+// Delay before the next accept after a failed one, for example when the process
+// has run out of file descriptors.
 constexpr std::chrono::milliseconds kAcceptRetryDelay{50};
 
 bool IsTooLarge(const beast::error_code& ec) {
@@ -201,7 +201,8 @@
   parser.header_limit(limits.max_header_bytes);
   parser.body_limit(limits.max_body_bytes);
   if (connection.buffer.size() == 0) {
-    // Waits for the first byte only, so that idle and slow callers differ.
+    // The idle timeout applies until the first bytes arrive, the read timeout
+    // to the rest of the request.
     connection.stream.expires_after(limits.idle_timeout);
     const auto first = connection.stream.async_read_some(
         connection.buffer.prepare(limits.max_header_bytes), use_fiber);
@@ -228,8 +229,10 @@
 bool http_server::state::ReadBody(http_connection& connection,
                                   request_parser& parser) {
   if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-    http::response<http::empty_body> go_on(http::status::continue_, 11);
-    const auto written = http::async_write(connection.stream, go_on, use_fiber);
+    http::response<http::empty_body> continue_response(http::status::continue_,
+                                                       11);
+    const auto written =
+        http::async_write(connection.stream, continue_response, use_fiber);
     if (written.ec) {
       return false;
     }
--- a/src/framework/net/internal/json_reply.cc
+++ b/src/framework/net/internal/json_reply.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/net/json_reply.h"
 
 #include <utility>
--- a/src/framework/net/json_reply.h
+++ b/src/framework/net/json_reply.h
@@ -1,4 +1,4 @@
-// Answers of the interfaces for operators and targets.
+// JSON responses of the operator and target interfaces.
 #pragma once
 
 #include <string>
@@ -10,12 +10,12 @@
 struct json_reply {
   http::status status = http::status::ok;
   std::string body = "{}";
-  /// Where to send the request instead; empty if it is answered here.
+  /// Value of the Location field of a redirect; empty for other responses.
   std::string location;
 };
 
-/// Writes the reply. `request` is the default one if it could not be read; the
-/// connection is then closed.
+/// Writes the reply. If the request could not be read, pass a
+/// default-constructed `request`; the connection is then closed.
 keep_alive WriteReply(http_connection& connection,
                       const http_request& request,
                       json_reply reply);
--- a/src/framework/net/write_buffers.h
+++ b/src/framework/net/write_buffers.h
@@ -1,4 +1,4 @@
-// Writing of pieces of a streamed answer.
+// Writes parts of a streamed response.
 #pragma once
 
 #include <boost/asio/write.hpp>
@@ -10,9 +10,9 @@
 
 namespace burdocklock::net {
 
-/// Writes all of `buffers`; false if the peer did not take them in time. Most
-/// pieces fit into the socket's buffer, which needs neither a timer nor a
-/// suspension of the fiber.
+/// Writes all of `buffers`; returns false on an error or a timeout. Tries a
+/// non-blocking write first: most parts fit into the socket's send buffer and
+/// need neither a timer nor a suspension of the fiber.
 template <typename Buffers>
 bool WriteBuffers(http_connection& connection, const Buffers& buffers) {
   const std::size_t size = beast::buffer_bytes(buffers);
--- a/src/framework/seeded_random.h
+++ b/src/framework/seeded_random.h
@@ -1,4 +1,4 @@
-// Randomness from Boost.Random with an explicit seed.
+// Pseudo-random numbers from Boost.Random with an explicit seed.
 #pragma once
 
 #include <cstdint>
--- a/src/framework/tests/framework_unittest.cc
+++ b/src/framework/tests/framework_unittest.cc
@@ -1,4 +1,4 @@
-// General parts: addresses, metrics and log lines.
+// Tests of endpoint parsing, metrics and log formatting.
 #include <algorithm>
 #include <chrono>
 #include <string>
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST_CASE("endpoint: numeric addresses: parsed and written back") {
+TEST_CASE("endpoint: numeric addresses: parsed and formatted back") {
   for (const char* text : {"127.0.0.1:80", "[::1]:65535", "0.0.0.0:0"}) {
     const auto parsed = ParseEndpoint(text);
     REQUIRE(parsed.has_value());
@@ -25,14 +25,14 @@
   }
 }
 
-TEST_CASE("endpoint: anything else: rejected") {
+TEST_CASE("endpoint: invalid input: rejected") {
   for (const char* text : {"", ":", "localhost:80", "127.0.0.1", "1.2.3.4:x",
                            "1.2.3.4:65536", "1.2.3.4:-1", "1.2.3.4:"}) {
     CHECK(!ParseEndpoint(text).has_value());
   }
 }
 
-TEST_CASE("rolling summary: windows: percentiles of the last whole one") {
+TEST_CASE("rolling summary: windows: percentiles of the last complete window") {
   rolling_summary summary;
   const time_point start{seconds(600)};
   for (int i = 1; i <= 100; ++i) {
@@ -88,21 +88,24 @@
 }
 
 TEST_CASE("latency histogram: any latencies: buckets add up to the count") {
-  rc::prop("the counts never fall and end at the number within the bounds", [] {
-    latency_histogram histogram;
-    const time_point now{seconds(1)};
-    const auto latencies =
-        *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 300'000));
-    std::size_t within = 0;
-    for (const int latency : latencies) {
-      histogram.Observe(milliseconds(latency), now);
-      within += latency <= 120'000 ? 1 : 0;
-    }
-    const auto counts = histogram.Cumulative();
-    RC_ASSERT(std::is_sorted(counts.begin(), counts.end()));
-    RC_ASSERT(counts.back() == within);
-    RC_ASSERT(histogram.Values(now).count == latencies.size());
-  });
+  rc::prop(
+      "cumulative counts are non-decreasing and end at the number within "
+      "bounds",
+      [] {
+        latency_histogram histogram;
+        const time_point now{seconds(1)};
+        const auto latencies =
+            *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 300'000));
+        std::size_t within = 0;
+        for (const int latency : latencies) {
+          histogram.Observe(milliseconds(latency), now);
+          within += latency <= 120'000 ? 1 : 0;
+        }
+        const auto counts = histogram.Cumulative();
+        RC_ASSERT(std::is_sorted(counts.begin(), counts.end()));
+        RC_ASSERT(counts.back() == within);
+        RC_ASSERT(histogram.Values(now).count == latencies.size());
+      });
 }
 
 TEST_CASE("log line: any strings: one line of JSON") {
--- a/src/framework/types/endpoint.h
+++ b/src/framework/types/endpoint.h
@@ -8,7 +8,7 @@
 
 namespace burdocklock {
 
-/// Port 0, where it is listened on, asks the system for a free port.
+/// When listening, port 0 selects an ephemeral port.
 struct endpoint {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
@@ -17,9 +17,9 @@
   friend auto operator<=>(const endpoint&, const endpoint&) = default;
 };
 
-/// "address:port".
+/// Formats as "address:port", with IPv6 addresses in brackets.
 std::string ToString(const endpoint& endpoint);
-/// Reads "address:port" with a numeric IPv4 or bracketed IPv6 address; nullopt
+/// Parses "address:port" with a numeric IPv4 or bracketed IPv6 address; nullopt
 /// for anything else.
 std::optional<endpoint> ParseEndpoint(std::string_view text);
 
--- a/src/framework/types/error.h
+++ b/src/framework/types/error.h
@@ -1,4 +1,4 @@
-// Errors as values: what failed, in which step, against which peer.
+// Error values: what failed, in which step, and with which peer.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace burdocklock {
 
-/// The kind of a failure, independent of where it arose.
+/// Failure category, independent of the component that reports it.
 enum class error_code {
   kInvalidArgument,
   kUnreadable,
@@ -21,7 +21,7 @@
   kInternal,
 };
 
-/// Name of `code` as it appears in logs.
+/// The name of `code` in log records.
 constexpr const char* ToString(error_code code) {
   switch (code) {
     case error_code::kInvalidArgument:
@@ -48,12 +48,11 @@
   return "internal";
 }
 
-/// A failure with its context.
 struct error {
   error_code code = error_code::kInternal;
-  /// What was being done, such as "connect" or "read settings".
+  /// The failed operation, such as "connect" or "read settings".
   std::string step;
-  /// The file, address or process on the other side; empty if there is none.
+  /// The file, address or process involved; empty if there is none.
   std::string peer;
   std::string detail;
 
--- a/src/framework/types/internal/endpoint.cc
+++ b/src/framework/types/internal/endpoint.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "framework/types/endpoint.h"
 
 #include <charconv>
--- a/src/framework/types/strong_type.h
+++ b/src/framework/types/strong_type.h
@@ -1,5 +1,5 @@
-// Strong types: wraps a representation so that ids and units of different
-// kinds cannot be mixed up by accident.
+// Strong typedefs: ids and units of different kinds are distinct types and
+// cannot be passed for one another.
 #pragma once
 
 #include <compare>
@@ -10,7 +10,7 @@
 
 namespace burdocklock {
 
-/// A value of type `Rep` that is only comparable with values of the same tag.
+/// Wraps a `Rep`; comparable only with values of the same tag.
 template <typename Tag, typename Rep>
 class strong_type {
  public:
--- a/src/framework/types/time.h
+++ b/src/framework/types/time.h
@@ -1,15 +1,15 @@
-// Time as the decision modules see it. They never read a clock: `now` is
-// passed in, so that tests can run them on virtual time.
+// Clock types. Decision modules never read a clock: the current time is passed
+// in as `now`, so that tests can run on virtual time.
 #pragma once
 
 #include <chrono>
 
 namespace burdocklock {
 
-/// Monotonic time; never set back, not comparable between hosts.
+/// Monotonic time; not comparable between hosts.
 using time_point = std::chrono::steady_clock::time_point;
 using duration = std::chrono::steady_clock::duration;
-/// Calendar time, used only for records that people read.
+/// Wall-clock time, used only in human-readable records.
 using wall_time = std::chrono::system_clock::time_point;
 
 inline constexpr time_point kNever = time_point::max();
