--- a/src/ctl/internal/operator_client.cc
+++ b/src/ctl/internal/operator_client.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "ctl/operator_client.h"
 
 #include <thread>
@@ -15,10 +14,10 @@
 
 constexpr unsigned kHttp11 = 11;
 constexpr unsigned kUnauthorised = 401;
-constexpr unsigned kRedirect = 307;
-// From any control host to the leader, and once more if it has changed.
+constexpr unsigned kTemporaryRedirect = 307;
+// One from any control host to the leader, and one more if the leader changes.
 constexpr int kMaxRedirects = 2;
-constexpr unsigned kFirstError = 400;
+constexpr unsigned kFirstErrorStatus = 400;
 
 error MakeError(error_code code, const std::string& peer, std::string detail) {
   return error{.code = code,
@@ -27,7 +26,8 @@
                .detail = std::move(detail)};
 }
 
-// Runs one exchange on a thread with a fiber scheduler.
+// Sends one request from a thread with a fiber scheduler and waits for the
+// reply.
 result<net::http_reply> FetchBlocking(const endpoint& peer,
                                       const net::http_request& request,
                                       std::chrono::milliseconds timeout) {
@@ -41,7 +41,7 @@
 }
 
 // The "ip:port" of an absolute URL.
-std::string HostOf(std::string_view url) {
+std::string HostAndPort(std::string_view url) {
   constexpr std::string_view kScheme = "http://";
   if (url.starts_with(kScheme)) {
     url.remove_prefix(kScheme.size());
@@ -57,7 +57,7 @@
   }
   nlohmann::ordered_json document =
       nlohmann::ordered_json::parse(reply.body, nullptr, false);
-  if (reply.status >= kFirstError || document.is_discarded()) {
+  if (reply.status >= kFirstErrorStatus || document.is_discarded()) {
     const std::string problem =
         document.is_object() ? document.value("error", std::string()) : "";
     return MakeError(error_code::kInternal, address,
@@ -98,7 +98,7 @@
     net::http_request request) const {
   std::string address = address_;
   request.set(http::field::authorization, "Bearer " + token_);
-  for (int hops = 0; hops <= kMaxRedirects; ++hops) {
+  for (int redirects = 0; redirects <= kMaxRedirects; ++redirects) {
     const std::optional<endpoint> peer = ParseEndpoint(address);
     if (!peer) {
       return MakeError(error_code::kInvalidArgument, address,
@@ -110,10 +110,10 @@
     if (!reply) {
       return reply.error();
     }
-    if (reply.value().status != kRedirect) {
+    if (reply.value().status != kTemporaryRedirect) {
       return ReadReply(reply.value(), address);
     }
-    address = HostOf(reply.value().fields[http::field::location]);
+    address = HostAndPort(reply.value().fields[http::field::location]);
   }
   return MakeError(error_code::kInternal, address, "too many redirects");
 }
--- a/src/ctl/internal/table.cc
+++ b/src/ctl/internal/table.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "ctl/table.h"
 
 #include <algorithm>
@@ -12,7 +11,7 @@
 
 using row = std::vector<std::string>;
 
-std::string Cell(const nlohmann::ordered_json& value) {
+std::string FormatCell(const nlohmann::ordered_json& value) {
   return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
@@ -39,7 +38,7 @@
 void PrintFields(const nlohmann::ordered_json& object, std::ostream& out) {
   std::vector<row> rows;
   for (const auto& [key, value] : object.items()) {
-    rows.push_back({key, Cell(value)});
+    rows.push_back({key, FormatCell(value)});
   }
   PrintAligned(rows, out);
 }
@@ -56,7 +55,7 @@
   for (const auto& object : array) {
     row cells;
     for (const std::string& key : rows.front()) {
-      cells.push_back(object.contains(key) ? Cell(object[key]) : "-");
+      cells.push_back(object.contains(key) ? FormatCell(object[key]) : "-");
     }
     rows.push_back(std::move(cells));
   }
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -1,4 +1,4 @@
-// Command line of burdocklockctl.
+// Command-line interface of burdocklockctl.
 #include <chrono>
 #include <cstdint>
 #include <fstream>
@@ -46,7 +46,8 @@
                                                    : kExitUnreachable;
 }
 
-// Fetches `path` and prints its document; `list` names its rows if it has any.
+// Fetches `path` and prints the document as fields, or as a table of the array
+// member `list` if that is not empty.
 int Show(const ctl_options& options,
          const std::string& path,
          const std::string& list) {
@@ -65,10 +66,10 @@
   return kExitOk;
 }
 
-// Gives an order and prints `done` if it was accepted.
-int Order(const ctl_options& options,
-          const std::string& path,
-          const std::string& done) {
+// Sends a command and prints `done` if the daemon accepted it.
+int SendCommand(const ctl_options& options,
+                const std::string& path,
+                const std::string& done) {
   const operator_client client = MakeClient(options);
   const auto document = client.Post(path);
   if (!document) {
@@ -92,7 +93,7 @@
   return text.str();
 }
 
-// Reads a configuration and applies every check that does not need the fleet.
+// Reads a configuration and runs all checks that need no running daemon.
 result<std::string> ReadCheckedConfiguration(const std::string& path) {
   auto text = ReadFile(path);
   if (!text) {
@@ -146,7 +147,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Shows and steers burdocklock daemons.");
+  CLI::App app("Inspects and controls burdocklock daemons.");
   app.require_subcommand(1);
   ctl_options options;
   app.add_option("--address", options.address,
@@ -174,12 +175,13 @@
       app.add_subcommand("dc", "Take a data centre out of service or back in");
   data_centre->require_subcommand(1);
   std::string name;
-  for (const char* order : {"out", "in"}) {
-    CLI::App* command = data_centre->add_subcommand(order);
+  for (const char* action : {"out", "in"}) {
+    CLI::App* command = data_centre->add_subcommand(action);
     command->add_option("name", name, "Data centre")->required();
-    command->callback([&, order] {
-      exit_code = Order(options, "/v1/data-centres/" + name + "/" + order,
-                        name + " " + order + ": accepted");
+    command->callback([&, action] {
+      exit_code =
+          SendCommand(options, "/v1/data-centres/" + name + "/" + action,
+                      name + " " + action + ": accepted");
     });
   }
   CLI::App* configuration = app.add_subcommand(
@@ -193,11 +195,11 @@
   check->add_option("file", file, "Configuration (JSON)")->required();
   check->callback([&] { exit_code = CheckConfiguration(file); });
   CLI::App* apply =
-      configuration->add_subcommand("apply", "Put a file in force");
+      configuration->add_subcommand("apply", "Apply a configuration file");
   apply->add_option("file", file, "Configuration (JSON)")->required();
   apply->callback([&] { exit_code = ApplyConfiguration(options, file); });
   app.add_subcommand("drain", "Shut the daemon down gracefully")->callback([&] {
-    exit_code = Order(options, "/v1/drain", "draining");
+    exit_code = SendCommand(options, "/v1/drain", "draining");
   });
   app.fallthrough();
   CLI11_PARSE(app, argc, argv);
--- a/src/ctl/operator_client.h
+++ b/src/ctl/operator_client.h
@@ -13,8 +13,8 @@
 
 class operator_client {
  public:
-  /// `address` is "ip:port"; a daemon that does not answer in `timeout` counts
-  /// as unreachable.
+  /// `address` is "ip:port"; calls fail if the daemon does not answer within
+  /// `timeout`.
   operator_client(std::string address,
                   std::string token,
                   std::chrono::milliseconds timeout);
@@ -28,7 +28,7 @@
       const std::string& body) const;
 
  private:
-  // Follows redirects to the control host that decides.
+  // Sends the request and follows redirects to the leading control host.
   [[nodiscard]] result<nlohmann::ordered_json> Call(
       net::http_request request) const;
 
