--- a/src/admission/internal/fair_share.cc
+++ b/src/admission/internal/fair_share.cc
@@ -1,4 +1,4 @@
-// See the header.
+// Finds the max-min fair share by filling the demands in ascending order.
 #include "admission/fair_share.h"
 
 #include <algorithm>
--- a/src/admission/internal/flow_meter.cc
+++ b/src/admission/internal/flow_meter.cc
@@ -1,4 +1,4 @@
-// See the header.
+// Updates and reads the exponentially decaying token rate of a flow.
 #include "admission/flow_meter.h"
 
 #include <cmath>
--- a/src/admission/internal/share_limiter.cc
+++ b/src/admission/internal/share_limiter.cc
@@ -1,4 +1,6 @@
-// See the header.
+// Limits each customer to its max-min fair share of an overloaded pool. The
+// share covers the demand on all routers; each router enforces its part of it
+// with a token bucket.
 #include "admission/share_limiter.h"
 
 #include <algorithm>
@@ -14,8 +16,8 @@
 constexpr double kOverloadFactor = 1.15;
 // Interval at which the share is recomputed while requests arrive.
 constexpr std::chrono::milliseconds kUpdatePeriod{100};
-// LocalFlows below this many tokens per second are not reported to other
-// routers.
+// Flows of this router whose demand and started work are both below this many
+// tokens per second are not reported to other routers.
 constexpr double kMinReportedRate = 1.0;
 
 }  // namespace
