--- a/src/allocation/internal/lease_table.cc
+++ b/src/allocation/internal/lease_table.cc
@@ -1,3 +1,5 @@
+// Updates the slot leases from router reports and granted limits, and sums them
+// by target.
 #include "allocation/lease_table.h"
 
 #include <algorithm>
--- a/src/allocation/internal/service_ledger.cc
+++ b/src/allocation/internal/service_ledger.cc
@@ -1,3 +1,5 @@
+// Accounts for the service that customers receive through all routers, and
+// tracks which customers are backlogged.
 #include "allocation/service_ledger.h"
 
 #include <algorithm>
--- a/src/allocation/internal/slot_client.cc
+++ b/src/allocation/internal/slot_client.cc
@@ -1,3 +1,5 @@
+// Numbers a router's slot reports and applies the grants that answer them.
+// Grants from another coordinator and outdated grants are rejected.
 #include "allocation/slot_client.h"
 
 namespace burdocklock::allocation {
--- a/src/allocation/internal/slot_division.cc
+++ b/src/allocation/internal/slot_division.cc
@@ -1,3 +1,5 @@
+// Divides a pool's slots among customers by virtual service, then splits each
+// customer's slots over the routers by the largest remainder method.
 #include "allocation/slot_division.h"
 
 #include <algorithm>
