--- a/src/control/internal/link_set.cc
+++ b/src/control/internal/link_set.cc
@@ -1,3 +1,5 @@
+// Opens, closes and reopens the links to control hosts, and tracks which of
+// them are up and active.
 #include "control/link_set.h"
 
 #include <algorithm>
--- a/src/control/internal/load_collector.cc
+++ b/src/control/internal/load_collector.cc
@@ -1,3 +1,5 @@
+// Stores the latest load report of each router and sums the reports by target
+// and by customer.
 #include "control/load_collector.h"
 
 #include <chrono>
--- a/src/control/internal/message_codec.cc
+++ b/src/control/internal/message_codec.cc
@@ -1,3 +1,5 @@
+// Converts control messages to and from CBOR arrays that begin with a tag for
+// the message type.
 #include "control/message_codec.h"
 
 #include <cmath>
--- a/src/control/internal/operator_state.cc
+++ b/src/control/internal/operator_state.cc
@@ -1,3 +1,5 @@
+// Applies operator commands to the replicated state, and encodes commands and
+// snapshots as CBOR.
 #include "control/operator_state.h"
 
 #include <exception>
--- a/src/control/internal/router_client.cc
+++ b/src/control/internal/router_client.cc
@@ -1,3 +1,5 @@
+// Handles messages from control hosts and decides when a received state is
+// applied. Also sends heartbeats and load reports.
 #include "control/router_client.h"
 
 #include <utility>
--- a/src/control/internal/target_registry.cc
+++ b/src/control/internal/target_registry.cc
@@ -1,3 +1,5 @@
+// Merges target announcements, handles withdrawals and expires old entries.
+// Reports which changes routers must learn at once.
 #include "control/target_registry.h"
 
 #include <algorithm>
