--- a/src/fairness/internal/fair_queue.cc
+++ b/src/fairness/internal/fair_queue.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Start-time fair queueing of waiting requests, with precedence for customers
+// that have waited beyond the age limit.
 #include "fairness/fair_queue.h"
 
 #include <algorithm>
