--- a/src/membership/internal/data_centre_orders.cc
+++ b/src/membership/internal/data_centre_orders.cc
@@ -1,3 +1,4 @@
+// Stores the latest order for each data centre and resolves concurrent orders.
 #include "membership/data_centre_orders.h"
 
 #include <tuple>
--- a/src/membership/internal/member_table.cc
+++ b/src/membership/internal/member_table.cc
@@ -1,3 +1,5 @@
+// Tracks which daemons are alive and selects the coordinator of each data
+// centre.
 #include "membership/member_table.h"
 
 #include <algorithm>
