--- a/src/quorum/internal/raft_log.cc
+++ b/src/quorum/internal/raft_log.cc
@@ -1,3 +1,5 @@
+// Access to the in-memory Raft log, its truncation and compaction, and the
+// replay of storage records at recovery.
 #include "quorum/raft_log.h"
 
 #include <type_traits>
