--- a/src/routing/internal/request_lifecycle.cc
+++ b/src/routing/internal/request_lifecycle.cc
@@ -1,4 +1,5 @@
-// See the header.
+// State transitions of a request: attempts, retries, deadlines and the final
+// outcome. Also derives the timeouts from the request's time limit.
 #include "routing/request_lifecycle.h"
 
 #include <algorithm>
--- a/src/routing/internal/retry_budget.cc
+++ b/src/routing/internal/retry_budget.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Refills the retry token bucket, by request and by time, and takes a token for
+// each retry.
 #include "routing/retry_budget.h"
 
 #include <algorithm>
