--- a/src/storage/internal/log_file.cc
+++ b/src/storage/internal/log_file.cc
@@ -1,3 +1,5 @@
+// File operations of the replicated log: recovery, synced appends and atomic
+// rewrites.
 #include "storage/log_file.h"
 
 #include <cerrno>
--- a/src/storage/internal/log_writer.cc
+++ b/src/storage/internal/log_writer.cc
@@ -1,3 +1,5 @@
+// The thread that writes queued log records in batches, retries failed writes
+// and reports changes of the disk's state.
 #include "storage/log_writer.h"
 
 #include <chrono>
