--- a/src/targets/internal/admission_ramp.cc
+++ b/src/targets/internal/admission_ramp.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Raises a target's concurrency limit after successes and reduces it after
+// failures and latency jumps. Repeated failures also pause admission.
 #include "targets/admission_ramp.h"
 
 #include <algorithm>
--- a/src/targets/internal/announcement_codec.cc
+++ b/src/targets/internal/announcement_codec.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Converts target announcements to and from JSON arrays, the form in which
+// daemons exchange them.
 #include "targets/announcement_codec.h"
 
 #include <stdexcept>
--- a/src/targets/internal/announcement_parser.cc
+++ b/src/targets/internal/announcement_parser.cc
@@ -1,4 +1,4 @@
-// See the header.
+// Parses and validates the JSON announcements that targets send.
 #include "targets/announcement_parser.h"
 
 #include <limits>
--- a/src/targets/internal/cold_admission.cc
+++ b/src/targets/internal/cold_admission.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Divides a cold target's request rate among a few routers selected by
+// rendezvous hashing, and enforces it with a token bucket.
 #include "targets/cold_admission.h"
 
 #include <algorithm>
--- a/src/targets/internal/prefix_memory.cc
+++ b/src/targets/internal/prefix_memory.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Tracks in least-recently-used order which prompt parts a target has cached
+// and which of them it has processed.
 #include "targets/prefix_memory.h"
 
 namespace burdocklock::targets {
--- a/src/targets/internal/rendezvous.cc
+++ b/src/targets/internal/rendezvous.cc
@@ -1,4 +1,4 @@
-// See the header.
+// Computes rendezvous hashing weights with XXH3.
 #include "targets/rendezvous.h"
 
 #include <xxhash.h>
--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Applies announcements, leases and request results to the known targets, and
+// determines which targets can take requests.
 #include "targets/target_directory.h"
 
 #include <algorithm>
