--- a/src/targets/internal/announcement_codec.cc
+++ b/src/targets/internal/announcement_codec.cc
@@ -1,5 +1,5 @@
-// Converts target announcements to and from JSON arrays, the form in which
-// daemons exchange them.
+// Converts target announcements to and from JSON arrays, which daemons exchange
+// encoded as CBOR.
 #include "targets/announcement_codec.h"
 
 #include <stdexcept>
