--- a/src/targets/internal/target_directory.cc
+++ b/src/targets/internal/target_directory.cc
@@ -1,5 +1,6 @@
-// Applies announcements, leases and request results to the known targets, and
-// determines which targets can take requests.
+// Applies announcements and request results to the known targets, and removes
+// silent ones. Leases are in target_leases.cc, target selection is in
+// target_choice.cc and prompt_placement.cc.
 #include "targets/target_directory.h"
 
 #include <algorithm>
