--- a/src/targets/internal/announcement_codec.cc
+++ b/src/targets/internal/announcement_codec.cc
@@ -1,4 +1,5 @@
-// See the header.
+// Converts target announcements to and from JSON arrays, which daemons exchange
+// encoded as CBOR.
 #include "targets/announcement_codec.h"
 
 #include <stdexcept>
