--- a/src/ctl/internal/operator_client.cc
+++ b/src/ctl/internal/operator_client.cc
@@ -1,3 +1,5 @@
+// Sends operator requests, follows redirects to the leader and converts error
+// replies.
 #include "ctl/operator_client.h"
 
 #include <thread>
--- a/src/ctl/internal/table.cc
+++ b/src/ctl/internal/table.cc
@@ -1,3 +1,4 @@
+// Prints JSON objects and arrays as text with aligned columns.
 #include "ctl/table.h"
 
 #include <algorithm>
--- a/src/framework/codec/internal/member_reader.cc
+++ b/src/framework/codec/internal/member_reader.cc
@@ -1,3 +1,5 @@
+// Type and range checks for the members of JSON objects. Only the first problem
+// is recorded, with its path.
 #include "framework/codec/member_reader.h"
 
 #include <utility>
--- a/src/framework/fiber/internal/asio_scheduler.cc
+++ b/src/framework/fiber/internal/asio_scheduler.cc
@@ -1,3 +1,4 @@
+// Queue of ready fibers; the io_context runs while the queue is empty.
 #include "framework/fiber/internal/asio_scheduler.h"
 
 #include <boost/asio/post.hpp>
--- a/src/framework/fiber/internal/fiber_thread.cc
+++ b/src/framework/fiber/internal/fiber_thread.cc
@@ -1,3 +1,5 @@
+// Starts detached fibers and counts them, so that the thread can wait for all
+// of them to finish.
 #include "framework/fiber/fiber_thread.h"
 
 #include <utility>
--- a/src/framework/fiber/internal/sleep.cc
+++ b/src/framework/fiber/internal/sleep.cc
@@ -1,3 +1,4 @@
+// Suspends the calling fiber with an Asio timer.
 #include "framework/fiber/sleep.h"
 
 #include <boost/asio/steady_timer.hpp>
--- a/src/framework/logging/internal/boost_logger.cc
+++ b/src/framework/logging/internal/boost_logger.cc
@@ -1,3 +1,5 @@
+// Formats log records as JSON lines and writes them with an asynchronous
+// Boost.Log sink.
 #include "framework/logging/boost_logger.h"
 
 #include <chrono>
--- a/src/framework/metrics/internal/latency_histogram.cc
+++ b/src/framework/metrics/internal/latency_histogram.cc
@@ -1,3 +1,4 @@
+// Assigns latencies to buckets and computes the cumulative bucket counts.
 #include "framework/metrics/latency_histogram.h"
 
 #include <algorithm>
--- a/src/framework/metrics/internal/rolling_summary.cc
+++ b/src/framework/metrics/internal/rolling_summary.cc
@@ -1,3 +1,5 @@
+// Accumulates values per window and reads percentiles and the maximum from the
+// previous window, or from the current one if the previous one is empty.
 #include "framework/metrics/rolling_summary.h"
 
 #include <utility>
--- a/src/framework/net/internal/http_client.cc
+++ b/src/framework/net/internal/http_client.cc
@@ -1,3 +1,5 @@
+// HTTP/1.1 client connection on a Beast stream: sends requests, reads response
+// heads and bodies, and classifies errors.
 #include "framework/net/http_client.h"
 
 #include <array>
--- a/src/framework/net/internal/http_server.cc
+++ b/src/framework/net/internal/http_server.cc
@@ -1,3 +1,5 @@
+// Accepts connections and reads requests within size and time limits; each
+// connection is served by its own fiber.
 #include "framework/net/http_server.h"
 
 #include <optional>
--- a/src/framework/net/internal/json_reply.cc
+++ b/src/framework/net/internal/json_reply.cc
@@ -1,3 +1,4 @@
+// Writes JSON replies to HTTP connections.
 #include "framework/net/json_reply.h"
 
 #include <utility>
--- a/src/framework/types/internal/endpoint.cc
+++ b/src/framework/types/internal/endpoint.cc
@@ -1,3 +1,5 @@
+// Parses and formats addresses of the form ip:port. Brackets around an IPv6
+// address are optional when parsing and always added when formatting.
 #include "framework/types/endpoint.h"
 
 #include <charconv>
--- a/tools/engine/batch.cc
+++ b/tools/engine/batch.cc
@@ -1,3 +1,5 @@
+// Step loop of the simulated batch, with slower steps while the engine is cold
+// and failure of all sequences on overload.
 #include "engine/batch.h"
 
 #include <algorithm>
--- a/tools/engine/engine_handler.cc
+++ b/tools/engine/engine_handler.cc
@@ -1,3 +1,5 @@
+// Serves completion requests with simulated tokens and injects faults. Also
+// serves the endpoints for statistics and fault control.
 #include "engine/engine_handler.h"
 
 #include <algorithm>
--- a/tools/engine/prefix_cache.cc
+++ b/tools/engine/prefix_cache.cc
@@ -1,3 +1,5 @@
+// Looks up and inserts the blocks of a prompt; evicts the least recently used
+// block when the cache is full.
 #include "engine/prefix_cache.h"
 
 #include <boost/container_hash/hash.hpp>
--- a/tools/load/caller.cc
+++ b/tools/load/caller.cc
@@ -1,3 +1,5 @@
+// Builds the requests of the load generator, reads streamed and unstreamed
+// responses, and checks that they belong to the call.
 #include "load/caller.h"
 
 #include <array>
--- a/tools/load/load_run.cc
+++ b/tools/load/load_run.cc
@@ -1,3 +1,5 @@
+// Generates open-loop load with Poisson arrivals, or closed-loop load with a
+// fixed number of workers per customer, and reuses idle connections.
 #include "load/load_run.h"
 
 #include <algorithm>
--- a/tools/load/report.cc
+++ b/tools/load/report.cc
@@ -1,3 +1,5 @@
+// Summarises call records by customer and host, computes the largest service
+// gap, and checks the records against the journals of the targets.
 #include "load/report.h"
 
 #include <algorithm>
--- a/tools/stand_in/announcer.cc
+++ b/tools/stand_in/announcer.cc
@@ -1,3 +1,5 @@
+// Sends announcements to all entry hosts, with simulated message loss and a
+// delayed load report.
 #include "stand_in/announcer.h"
 
 #include <chrono>
--- a/tools/stand_in/fault_plan.cc
+++ b/tools/stand_in/fault_plan.cc
@@ -1,3 +1,5 @@
+// Parses fault names and selects the fault of the next request: queued faults
+// first, then periodic ones.
 #include "stand_in/fault_plan.h"
 
 #include <array>
--- a/tools/stand_in/journal.cc
+++ b/tools/stand_in/journal.cc
@@ -1,3 +1,5 @@
+// Appends request and order entries to the journal file, and counts the entries
+// of several journals.
 #include "stand_in/journal.h"
 
 namespace burdocklock::stand_in {
--- a/tools/stand_in/target_process.cc
+++ b/tools/stand_in/target_process.cc
@@ -1,3 +1,5 @@
+// Command-line options and process lifecycle of simulated targets: announces
+// the target, serves requests and drains on SIGTERM or SIGINT.
 #include "stand_in/target_process.h"
 
 #include <chrono>
