--- a/src/routes/configuration_checks.h
+++ b/src/routes/configuration_checks.h
@@ -1,4 +1,4 @@
-// Whole-document checks of a routing configuration.
+// Validation of a routing configuration.
 #pragma once
 
 #include "framework/types/error.h"
@@ -6,10 +6,10 @@
 
 namespace burdocklock::routes {
 
-/// Fails with the first of: a route that names an unknown service, two routes
-/// for the same host name and prefix, weights that add up to zero, a timeout of
-/// zero, a malformed prefix, a service or customer named twice, a key held by
-/// two customers.
+/// Returns the first error found: a route that refers to an unknown service,
+/// two routes with the same host name and prefix, weights that sum to zero, a
+/// timeout of zero, a malformed prefix, a duplicate service or customer, or a
+/// key that belongs to two customers.
 result<void> Check(const configuration& configuration);
 
 }  // namespace burdocklock::routes
--- a/src/routes/i_configuration_reader.h
+++ b/src/routes/i_configuration_reader.h
@@ -1,4 +1,4 @@
-// Port: reads configurations as operators give them.
+// Interface of the parsers of routing configurations.
 #pragma once
 
 #include <string_view>
@@ -12,8 +12,8 @@
  public:
   virtual ~i_configuration_reader() = default;
 
-  /// Reads a whole document; fails if it is not a configuration. What it says
-  /// must still be checked (configuration_checks.h).
+  /// Parses a complete document; fails if it is malformed. The result must
+  /// still be validated (configuration_checks.h).
   [[nodiscard]] virtual result<configuration> Read(
       std::string_view document) const = 0;
 };
--- a/src/routes/internal/configuration_checks.cc
+++ b/src/routes/internal/configuration_checks.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "routes/configuration_checks.h"
 
 #include <set>
@@ -12,76 +11,80 @@
 
 namespace {
 
-result<void> Ok() {
+result<void> Success() {
   return BOOST_OUTCOME_V2_NAMESPACE::success();
 }
 
-error Invalid(std::string detail) {
+error InvalidConfiguration(std::string detail) {
   return {.code = error_code::kInvalidArgument,
           .step = "check configuration",
           .peer = {},
           .detail = std::move(detail)};
 }
 
-bool IsPrefix(const std::string& prefix) {
+bool IsValidPrefix(const std::string& prefix) {
   return prefix.starts_with('/') && prefix.ends_with('/');
 }
 
 result<void> CheckRoute(const route& route,
                         const std::unordered_set<pool_id>& services) {
-  if (!IsPrefix(route.path_prefix)) {
-    return Invalid("route " + route.name +
-                   ": the prefix must begin and end with a slash");
+  if (!IsValidPrefix(route.path_prefix)) {
+    return InvalidConfiguration("route " + route.name +
+                                ": the prefix must begin and end with a slash");
   }
   if (route.timeout <= std::chrono::milliseconds::zero()) {
-    return Invalid("route " + route.name + ": the timeout must be positive");
+    return InvalidConfiguration("route " + route.name +
+                                ": the timeout must be positive");
   }
-  std::uint64_t weight = 0;
+  std::uint64_t total_weight = 0;
   for (const weighted_service& entry : route.services) {
     if (!services.contains(entry.service)) {
-      return Invalid("route " + route.name + ": unknown service " +
-                     entry.service.value());
+      return InvalidConfiguration("route " + route.name + ": unknown service " +
+                                  entry.service.value());
     }
-    weight += entry.weight;
+    total_weight += entry.weight;
   }
-  if (weight == 0) {
-    return Invalid("route " + route.name + ": the weights add up to zero");
+  if (total_weight == 0) {
+    return InvalidConfiguration("route " + route.name +
+                                ": the weights sum to zero");
   }
-  return Ok();
+  return Success();
 }
 
 result<void> CheckRoutes(const configuration& configuration,
                          const std::unordered_set<pool_id>& services) {
-  std::set<std::pair<std::string, std::string>> places;
+  std::set<std::pair<std::string, std::string>> seen_prefixes;
   for (const route& route : configuration.routes) {
     if (auto checked = CheckRoute(route, services); !checked) {
       return checked;
     }
-    if (!places.emplace(route.host_name, route.path_prefix).second) {
-      return Invalid("route " + route.name +
-                     ": another route has this host name and prefix");
+    if (!seen_prefixes.emplace(route.host_name, route.path_prefix).second) {
+      return InvalidConfiguration(
+          "route " + route.name +
+          ": another route has the same host name and prefix");
     }
   }
-  return Ok();
+  return Success();
 }
 
 result<void> CheckCustomers(const configuration& configuration) {
-  std::unordered_set<customer_id> names;
-  std::unordered_map<std::string, customer_id> owners;
+  std::unordered_set<customer_id> seen_customers;
+  std::unordered_map<std::string, customer_id> key_owners;
   for (const route_customer& customer : configuration.customers) {
-    if (!names.insert(customer.customer).second) {
-      return Invalid("customer " + customer.customer.value() +
-                     " is named twice");
+    if (!seen_customers.insert(customer.customer).second) {
+      return InvalidConfiguration("customer " + customer.customer.value() +
+                                  " is defined twice");
     }
     for (const std::string& key : customer.api_keys) {
-      const auto [owner, added] = owners.emplace(key, customer.customer);
+      const auto [owner, added] = key_owners.emplace(key, customer.customer);
       if (!added && owner->second != customer.customer) {
-        return Invalid("customers " + owner->second.value() + " and " +
-                       customer.customer.value() + " share a key");
+        return InvalidConfiguration("customers " + owner->second.value() +
+                                    " and " + customer.customer.value() +
+                                    " share a key");
       }
     }
   }
-  return Ok();
+  return Success();
 }
 
 }  // namespace
@@ -90,7 +93,8 @@
   std::unordered_set<pool_id> services;
   for (const service_terms& terms : configuration.services) {
     if (!services.insert(terms.service).second) {
-      return Invalid("service " + terms.service.value() + " is named twice");
+      return InvalidConfiguration("service " + terms.service.value() +
+                                  " is defined twice");
     }
   }
   if (auto checked = CheckRoutes(configuration, services); !checked) {
--- a/src/routes/internal/route_index.cc
+++ b/src/routes/internal/route_index.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "routes/route_index.h"
 
 #include <algorithm>
@@ -25,11 +24,12 @@
 route_index::route_index(configuration configuration)
     : contents_(std::move(configuration)) {
   for (const route& route : contents_.routes) {
-    routes_[LowerCase(route.host_name)][route.path_prefix] = &route;
+    routes_by_host_name_[LowerCase(route.host_name)][route.path_prefix] =
+        &route;
   }
   for (const route_customer& customer : contents_.customers) {
     for (const std::string& key : customer.api_keys) {
-      keys_[key] = &customer;
+      customers_by_key_[key] = &customer;
     }
   }
   for (const service_terms& terms : contents_.services) {
@@ -39,20 +39,21 @@
 
 const route* route_index::Match(std::string_view host_name,
                                 std::string_view path) const {
-  const auto host = routes_.find(LowerCase(WithoutPort(host_name)));
-  if (host == routes_.end()) {
+  const auto host_routes =
+      routes_by_host_name_.find(LowerCase(WithoutPort(host_name)));
+  if (host_routes == routes_by_host_name_.end()) {
     return nullptr;
   }
   std::string_view prefix = path.substr(0, path.find('?'));
-  // Each prefix ends with a slash, so only those places can match.
+  // Prefixes end with a slash, so only substrings that end with one can match.
   while (true) {
     const std::size_t slash = prefix.rfind('/');
     if (slash == std::string_view::npos) {
       return nullptr;
     }
     prefix = prefix.substr(0, slash + 1);
-    const auto found = host->second.find(prefix);
-    if (found != host->second.end()) {
+    const auto found = host_routes->second.find(prefix);
+    if (found != host_routes->second.end()) {
       return found->second;
     }
     prefix.remove_suffix(1);
@@ -60,8 +61,8 @@
 }
 
 const route_customer* route_index::FindByKey(std::string_view api_key) const {
-  const auto found = keys_.find(api_key);
-  return found == keys_.end() ? nullptr : found->second;
+  const auto found = customers_by_key_.find(api_key);
+  return found == customers_by_key_.end() ? nullptr : found->second;
 }
 
 bool route_index::NeedsKey(const route& route) const {
@@ -74,16 +75,16 @@
 }
 
 const pool_id& PickService(const route& route, std::uint64_t hash) {
-  std::uint64_t total = 0;
+  std::uint64_t total_weight = 0;
   for (const weighted_service& entry : route.services) {
-    total += entry.weight;
+    total_weight += entry.weight;
   }
-  std::uint64_t place = total == 0 ? 0 : hash % total;
+  std::uint64_t offset = total_weight == 0 ? 0 : hash % total_weight;
   for (const weighted_service& entry : route.services) {
-    if (place < entry.weight) {
+    if (offset < entry.weight) {
       return entry.service;
     }
-    place -= entry.weight;
+    offset -= entry.weight;
   }
   return route.services.back().service;
 }
--- a/src/routes/tests/routes_unittest.cc
+++ b/src/routes/tests/routes_unittest.cc
@@ -1,4 +1,4 @@
-// Checks of configurations and look-ups on them.
+// Validation of routing configurations and lookups in their index.
 #include <string>
 
 #include <rapidcheck/catch.h>
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 
 struct configuration_fixture {
-  configuration subject = Valid();
+  configuration tested = Valid();
 
   static route Route(const std::string& name, const std::string& prefix) {
     return {.name = name,
@@ -33,10 +33,11 @@
                        {.customer = customer_id("b"), .api_keys = {"k3"}}};
     return valid;
   }
-  bool Passes() const { return Check(subject).has_value(); }
-  std::string Matched(const std::string& host, const std::string& path) const {
-    const route_index table(subject);
-    const route* found = table.Match(host, path);
+  bool Passes() const { return Check(tested).has_value(); }
+  std::string MatchedRouteName(const std::string& host,
+                               const std::string& path) const {
+    const route_index index(tested);
+    const route* found = index.Match(host, path);
     return found == nullptr ? "none" : found->name;
   }
 };
@@ -47,55 +48,56 @@
 
 TEST_CASE_METHOD(configuration_fixture,
                  "configuration: route of an unknown service: fails") {
-  subject.routes[1].services[0].service = pool_id("nobody");
+  tested.routes[1].services[0].service = pool_id("nobody");
   CHECK_FALSE(Passes());
 }
 
 TEST_CASE_METHOD(configuration_fixture,
                  "configuration: same host name and prefix twice: fails") {
-  subject.routes[1].path_prefix = "/";
+  tested.routes[1].path_prefix = "/";
   CHECK_FALSE(Passes());
 }
 
 TEST_CASE_METHOD(configuration_fixture,
-                 "configuration: weights add up to zero: fails") {
-  subject.routes[1].services = {{.service = pool_id("desk"), .weight = 0},
-                                {.service = pool_id("pool"), .weight = 0}};
+                 "configuration: weights sum to zero: fails") {
+  tested.routes[1].services = {{.service = pool_id("desk"), .weight = 0},
+                               {.service = pool_id("pool"), .weight = 0}};
   CHECK_FALSE(Passes());
 }
 
 TEST_CASE_METHOD(configuration_fixture,
                  "configuration: timeout of zero: fails") {
-  subject.routes[2].timeout = milliseconds(0);
+  tested.routes[2].timeout = milliseconds(0);
   CHECK_FALSE(Passes());
 }
 
 TEST_CASE_METHOD(configuration_fixture,
-                 "configuration: key of two customers: fails") {
-  subject.customers[1].api_keys.emplace_back("k2");
+                 "configuration: key shared by two customers: fails") {
+  tested.customers[1].api_keys.emplace_back("k2");
   CHECK_FALSE(Passes());
 }
 
 TEST_CASE_METHOD(configuration_fixture,
-                 "table: nested prefixes: the longest one matches") {
-  CHECK(Matched("desk.example", "/orders/returns/7") == "returns");
-  CHECK(Matched("desk.example", "/orders/7?x=/orders/returns/") == "orders");
-  CHECK(Matched("DESK.example:80", "/orders") == "all");
-  CHECK(Matched("other.example", "/orders/7") == "none");
-  CHECK(Matched("desk.example", "*") == "none");
+                 "route index: nested prefixes: the longest one matches") {
+  CHECK(MatchedRouteName("desk.example", "/orders/returns/7") == "returns");
+  CHECK(MatchedRouteName("desk.example", "/orders/7?x=/orders/returns/") ==
+        "orders");
+  CHECK(MatchedRouteName("DESK.example:80", "/orders") == "all");
+  CHECK(MatchedRouteName("other.example", "/orders/7") == "none");
+  CHECK(MatchedRouteName("desk.example", "*") == "none");
 }
 
 TEST_CASE_METHOD(configuration_fixture,
-                 "table: key: names the customer that holds it") {
-  const route_index table(subject);
-  REQUIRE(table.FindByKey("k2") != nullptr);
-  CHECK(table.FindByKey("k2")->customer == customer_id("a"));
-  CHECK(table.FindByKey("") == nullptr);
-  CHECK(table.NeedsKey(table.contents().routes[0]));
+                 "route index: key: finds the customer that owns it") {
+  const route_index index(tested);
+  REQUIRE(index.FindByKey("k2") != nullptr);
+  CHECK(index.FindByKey("k2")->customer == customer_id("a"));
+  CHECK(index.FindByKey("") == nullptr);
+  CHECK(index.NeedsKey(index.contents().routes[0]));
 }
 
 TEST_CASE_METHOD(configuration_fixture,
-                 "weights: any hash: share of calls follows the weights") {
+                 "weights: any hash: calls are distributed by weight") {
   route split = Route("split", "/");
   split.services = {{.service = pool_id("desk"), .weight = 3},
                     {.service = pool_id("pool"), .weight = 1}};
--- a/src/routes/types/configuration.h
+++ b/src/routes/types/configuration.h
@@ -1,5 +1,5 @@
-// The routing configuration that operators give: which calls go to which
-// service, on what terms, and who may make them.
+// The routing configuration set by operators: how calls are mapped to
+// services, their timeouts and retry limits, and which customers are allowed.
 #pragma once
 
 #include <chrono>
@@ -11,17 +11,17 @@
 
 namespace burdocklock::routes {
 
-/// Versions rise; the highest one is in force.
+/// Versions increase monotonically; the highest one is active.
 using configuration_version =
     strong_type<struct configuration_version_tag, std::uint64_t>;
 
-/// What may be repeated, and how the answer arrives.
+/// Whether a call may be retried, and whether its response is streamed.
 enum class route_kind {
   /// May run more than once.
   kIdempotent,
   /// May run at most once.
   kNonIdempotent,
-  /// Answered by a stream of events; may run at most once unless the route is
+  /// The response is an event stream; runs at most once unless the route is
   /// resumable.
   kStreaming,
 };
@@ -34,62 +34,63 @@
                          const weighted_service&) = default;
 };
 
-/// Calls to one host name below one path prefix.
+/// Handles calls to one host name under one path prefix.
 struct route {
   std::string name;
-  /// Host name as callers send it, without a port.
+  /// Value of the Host header field without the port.
   std::string host_name;
   /// Begins and ends with a slash.
   std::string path_prefix;
   route_kind kind = route_kind::kIdempotent;
-  /// From arrival to the final answer.
+  /// Time limit from receipt of the request to the end of the response.
   std::chrono::milliseconds timeout{0};
-  /// Within this time the answer, or the first event of a stream, is on time.
+  /// Latency objective for the response, or for the first event of a stream.
   std::chrono::milliseconds latency_objective{0};
-  /// Longest pause between events with which a stream is on time; zero if it
-  /// is not a stream.
+  /// Maximum gap between events for a stream to meet its objective; zero if
+  /// the response is not streamed.
   std::chrono::milliseconds pause_objective{0};
-  /// 0 is the most urgent.
+  /// Priority; 0 is the highest.
   std::uint32_t rank = 0;
-  /// Services that share the calls, by weight.
+  /// Services among which calls are distributed by weight.
   std::vector<weighted_service> services;
-  /// Targets on which one call may run.
+  /// Maximum number of targets on which one call may be run.
   std::uint32_t max_attempts = 1;
-  /// Callers need no key.
+  /// Callers need no API key.
   bool anonymous = false;
-  /// A broken stream may go on at another target.
+  /// An interrupted stream may be resumed on another target.
   bool resumable = false;
-  /// Calls carry the parts of their prompt, of which targets keep copies.
+  /// Calls list the parts of their prompt, which targets cache.
   bool has_prompt = false;
 
   friend bool operator==(const route&, const route&) = default;
 };
 
-/// How much a target of one service bears.
+/// Capacity and health check parameters of one service's targets.
 struct service_terms {
   pool_id service;
   std::string health_path;
-  /// Connections that a target accepts from all callers together.
+  /// Maximum connections per target, summed over all callers.
   std::uint32_t max_connections = 0;
-  /// A target is cold for this time after it has started.
+  /// A target counts as cold for this time after its start.
   std::chrono::milliseconds cold_time{0};
-  /// Requests a second that a cold target bears; zero if it is never cold.
+  /// Maximum requests per second of a cold target; zero if targets are never
+  /// cold.
   double cold_rate = 0;
-  /// Tokens that a target's memory holds; zero if it is not a model engine.
+  /// Token capacity of a target's memory; zero if it is not a model engine.
   std::uint64_t memory_tokens = 0;
-  /// Targets copy parts of prompts from each other.
+  /// Targets can copy cached prompt parts from each other.
   bool copies_prompts = false;
 
   friend bool operator==(const service_terms&, const service_terms&) = default;
 };
 
-/// Bounds on what callers send.
+/// Size limits and timeouts for requests from callers.
 struct caller_limits {
   std::uint32_t max_header_bytes = 16 * 1024;
   std::uint32_t max_body_bytes = 4 * 1024 * 1024;
-  /// A caller must send a whole request in this time.
+  /// Time limit for receiving a complete request.
   std::chrono::milliseconds read_timeout{15'000};
-  /// Callers may keep a connection idle for this time.
+  /// Idle keep-alive connections are closed after this time.
   std::chrono::milliseconds idle_timeout{60'000};
 
   friend bool operator==(const caller_limits&, const caller_limits&) = default;
@@ -105,16 +106,16 @@
                          const route_customer&) = default;
 };
 
-/// Invariants hold after `Check` (configuration_checks.h) has passed.
+/// Valid only if it has passed `Check` (configuration_checks.h).
 struct configuration {
   configuration_version version;
   std::vector<route> routes;
   std::vector<service_terms> services;
-  /// If empty, callers need no key.
+  /// If empty, callers need no API key.
   std::vector<route_customer> customers;
   caller_limits limits;
-  /// Tokens a second that all model engines produce together, where a token
-  /// generated counts as two; zero if not stated.
+  /// Total throughput of all model engines in tokens per second, with each
+  /// generated token counted twice; zero if not specified.
   double engine_throughput = 0;
 
   friend bool operator==(const configuration&, const configuration&) = default;
