--- a/src/route_interface/command_handler.h
+++ b/src/route_interface/command_handler.h
@@ -1,4 +1,4 @@
-// Serves operators and targets at a control host.
+// HTTP API of a control host for operators and targets.
 #pragma once
 
 #include <string_view>
@@ -12,37 +12,38 @@
 
 namespace burdocklock::route_interface {
 
-/// Hashes of the tokens that are accepted.
+/// Hashes of the accepted bearer tokens.
 struct command_tokens {
   std::vector<config::key_hash> operators;
   std::vector<config::key_hash> targets;
 };
 
-/// PUT and GET /v1/configuration, POST /v1/data-centres/NAME/out and /in for
-/// operators; POST /v1/targets/announce and /v1/targets/withdraw for targets.
+/// Operator endpoints: GET and PUT /v1/configuration, POST
+/// /v1/data-centres/NAME/out and /in. Target endpoints: POST
+/// /v1/targets/announce and /v1/targets/withdraw.
 class command_handler : public net::i_http_handler {
  public:
-  /// All references must outlive the handler.
+  /// The referenced objects must outlive the handler.
   command_handler(control::i_control_commands& commands,
                   const configuration_document& reader,
                   const command_tokens& tokens)
-      : commands_(commands), reader_(reader), tokens_(tokens) {}
+      : commands_(commands), configuration_reader_(reader), tokens_(tokens) {}
 
   net::keep_alive Handle(net::http_connection& connection,
                          net::http_request& request) override;
   void OnBadRequest(net::http_connection& connection, error_code code) override;
 
  private:
-  net::json_reply Answer(const net::http_request& request);
-  net::json_reply AnswerTarget(const net::http_request& request);
-  net::json_reply AnswerConfiguration(const net::http_request& request);
-  net::json_reply SetOutage(const net::http_request& request,
-                            std::string_view order);
-  net::json_reply Announce(const net::http_request& request);
-  net::json_reply Withdraw(const net::http_request& request);
+  net::json_reply HandleCommand(const net::http_request& request);
+  net::json_reply HandleTargetCommand(const net::http_request& request);
+  net::json_reply HandleConfiguration(const net::http_request& request);
+  net::json_reply HandleOutage(const net::http_request& request,
+                               std::string_view path_suffix);
+  net::json_reply HandleAnnounce(const net::http_request& request);
+  net::json_reply HandleWithdraw(const net::http_request& request);
 
   control::i_control_commands& commands_;
-  const configuration_document& reader_;
+  const configuration_document& configuration_reader_;
   const command_tokens& tokens_;
 };
 
--- a/src/route_interface/configuration_document.h
+++ b/src/route_interface/configuration_document.h
@@ -1,4 +1,4 @@
-// The product's own form of a routing configuration, in JSON.
+// Burdocklock's native JSON format of routing configurations.
 #pragma once
 
 #include <string_view>
@@ -7,8 +7,9 @@
 
 namespace burdocklock::route_interface {
 
-/// Strict: a member that is not known is an error, so that a misspelt one is
-/// not taken for a default. docs/operations/routes.md lists the members.
+/// Unknown members are rejected, so that a misspelt one does not silently leave
+/// the default in effect. The format is documented in
+/// docs/operations/routes.md.
 class configuration_document : public routes::i_configuration_reader {
  public:
   [[nodiscard]] result<routes::configuration> Read(
--- a/src/route_interface/internal/command_handler.cc
+++ b/src/route_interface/internal/command_handler.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "route_interface/command_handler.h"
 
 #include <limits>
@@ -22,15 +21,15 @@
 
 namespace {
 
-constexpr std::string_view kConfiguration = "/v1/configuration";
-// Followed by a name and "/out" or "/in".
-constexpr std::string_view kDataCentres = "/v1/data-centres/";
-constexpr std::string_view kTargets = "/v1/targets/";
-constexpr std::string_view kAnnounce = "/v1/targets/announce";
-constexpr std::string_view kWithdraw = "/v1/targets/withdraw";
+constexpr std::string_view kConfigurationPath = "/v1/configuration";
+// Followed by the name of a data centre and "/out" or "/in".
+constexpr std::string_view kDataCentresPath = "/v1/data-centres/";
+constexpr std::string_view kTargetsPath = "/v1/targets/";
+constexpr std::string_view kAnnouncePath = "/v1/targets/announce";
+constexpr std::string_view kWithdrawPath = "/v1/targets/withdraw";
 
-bool IsFrom(const net::http_request& request,
-            const std::vector<config::key_hash>& tokens) {
+bool HasAcceptedToken(const net::http_request& request,
+                      const std::vector<config::key_hash>& tokens) {
   return config::IsAcceptedKey(config::HashKey(gateway::BearerToken(
                                    request[http::field::authorization])),
                                tokens);
@@ -40,7 +39,7 @@
 
 net::keep_alive command_handler::Handle(net::http_connection& connection,
                                         net::http_request& request) {
-  return net::WriteReply(connection, request, Answer(request));
+  return net::WriteReply(connection, request, HandleCommand(request));
 }
 
 void command_handler::OnBadRequest(net::http_connection& connection,
@@ -51,91 +50,101 @@
                                                : http::status::bad_request});
 }
 
-net::json_reply command_handler::Answer(const net::http_request& request) {
+net::json_reply command_handler::HandleCommand(
+    const net::http_request& request) {
   const std::string_view path = request.target();
-  const bool for_targets = path.starts_with(kTargets);
-  if (!IsFrom(request, for_targets ? tokens_.targets : tokens_.operators)) {
-    return MakeProblem(http::status::unauthorized, "the token is not known");
+  const bool is_target_path = path.starts_with(kTargetsPath);
+  if (!HasAcceptedToken(request,
+                        is_target_path ? tokens_.targets : tokens_.operators)) {
+    return MakeProblem(http::status::unauthorized, "unknown bearer token");
   }
-  if (for_targets) {
-    return AnswerTarget(request);
+  if (is_target_path) {
+    return HandleTargetCommand(request);
   }
-  if (path == kConfiguration) {
-    return AnswerConfiguration(request);
+  if (path == kConfigurationPath) {
+    return HandleConfiguration(request);
   }
-  if (request.method() == http::verb::post && path.starts_with(kDataCentres)) {
-    return SetOutage(request, path.substr(kDataCentres.size()));
+  if (request.method() == http::verb::post &&
+      path.starts_with(kDataCentresPath)) {
+    return HandleOutage(request, path.substr(kDataCentresPath.size()));
   }
-  return MakeProblem(http::status::not_found, "there is nothing here");
+  return MakeProblem(http::status::not_found, "no such resource");
 }
 
-net::json_reply command_handler::AnswerTarget(
+net::json_reply command_handler::HandleTargetCommand(
     const net::http_request& request) {
-  if (request.method() == http::verb::post && request.target() == kAnnounce) {
-    return Announce(request);
+  if (request.method() == http::verb::post &&
+      request.target() == kAnnouncePath) {
+    return HandleAnnounce(request);
   }
-  if (request.method() == http::verb::post && request.target() == kWithdraw) {
-    return Withdraw(request);
+  if (request.method() == http::verb::post &&
+      request.target() == kWithdrawPath) {
+    return HandleWithdraw(request);
   }
-  return MakeProblem(http::status::not_found, "there is nothing here");
+  return MakeProblem(http::status::not_found, "no such resource");
 }
 
-net::json_reply command_handler::AnswerConfiguration(
+net::json_reply command_handler::HandleConfiguration(
     const net::http_request& request) {
   switch (request.method()) {
     case http::verb::get:
       return app::RunReadConfiguration(request, commands_);
     case http::verb::put:
-      return app::RunReplaceConfiguration(request, reader_, commands_);
+      return app::RunReplaceConfiguration(request, configuration_reader_,
+                                          commands_);
     default:
       return MakeProblem(http::status::method_not_allowed,
                          "the method must be GET or PUT");
   }
 }
 
-net::json_reply command_handler::SetOutage(const net::http_request& request,
-                                           std::string_view order) {
-  const std::size_t slash = order.rfind('/');
-  const std::string_view word =
-      slash == std::string_view::npos ? "" : order.substr(slash + 1);
-  if (word != "out" && word != "in") {
-    return MakeProblem(http::status::not_found, "the order must be out or in");
+net::json_reply command_handler::HandleOutage(const net::http_request& request,
+                                              std::string_view path_suffix) {
+  const std::size_t slash = path_suffix.rfind('/');
+  const std::string_view action =
+      slash == std::string_view::npos ? "" : path_suffix.substr(slash + 1);
+  if (action != "out" && action != "in") {
+    return MakeProblem(http::status::not_found, "the action must be out or in");
   }
   return app::RunCommand(request, [&](control::command_done done) {
-    commands_.SetOutage(data_centre_id(std::string(order.substr(0, slash))),
-                        word == "out", std::move(done));
+    commands_.SetOutage(
+        data_centre_id(std::string(path_suffix.substr(0, slash))),
+        action == "out", std::move(done));
   });
 }
 
-net::json_reply command_handler::Announce(const net::http_request& request) {
+net::json_reply command_handler::HandleAnnounce(
+    const net::http_request& request) {
   const auto announcement = targets::ParseAnnouncement(request.body());
   if (!announcement) {
     return MakeProblem(http::status::bad_request,
                        announcement.error().Message());
   }
   if (announcement.value().sequence == 0) {
-    return MakeProblem(http::status::bad_request,
-                       "sequence: must rise with each announcement, from 1");
+    return MakeProblem(
+        http::status::bad_request,
+        "sequence: must start at 1 and increase with each announcement");
   }
   commands_.Announce(announcement.value());
   return {};
 }
 
-net::json_reply command_handler::Withdraw(const net::http_request& request) {
+net::json_reply command_handler::HandleWithdraw(
+    const net::http_request& request) {
   const auto parsed = nlohmann::json::parse(request.body(), nullptr,
                                             /*allow_exceptions=*/false);
   std::string problem;
   member_reader reader(parsed, "", problem);
   const target_id target(reader.String("target"));
-  std::optional<incarnation> life;
+  std::optional<incarnation> target_incarnation;
   if (reader.Find("incarnation") != nullptr) {
-    life = incarnation(reader.Unsigned(
+    target_incarnation = incarnation(reader.Unsigned(
         "incarnation", 0, std::numeric_limits<std::int64_t>::max()));
   }
   if (!problem.empty()) {
     return MakeProblem(http::status::bad_request, problem);
   }
-  commands_.Withdraw(target, life);
+  commands_.Withdraw(target, target_incarnation);
   return {};
 }
 
--- a/src/route_interface/internal/configuration_document.cc
+++ b/src/route_interface/internal/configuration_document.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "route_interface/configuration_document.h"
 
 #include <chrono>
@@ -39,14 +38,14 @@
 }
 
 routes::route_kind ReadKind(member_reader& reader) {
-  const std::string word = reader.String("kind");
-  if (word == "idempotent") {
+  const std::string kind = reader.String("kind");
+  if (kind == "idempotent") {
     return routes::route_kind::kIdempotent;
   }
-  if (word == "stream") {
+  if (kind == "stream") {
     return routes::route_kind::kStreaming;
   }
-  if (word != "at_most_once") {
+  if (kind != "at_most_once") {
     reader.Fail("kind", "must be idempotent, at_most_once or stream");
   }
   return routes::route_kind::kNonIdempotent;
--- a/src/route_interface/internal/route_dialect.cc
+++ b/src/route_interface/internal/route_dialect.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "route_interface/route_dialect.h"
 
 #include <algorithm>
@@ -19,25 +18,26 @@
 
 namespace {
 
-// Names one try of the caller; targets repeat it in their answers.
-constexpr char kName[] = "X-Request-Id";
-// How long the caller waits, from when it sent the request.
+// Identifies one request of the caller; targets echo it in their responses.
+constexpr char kRequestId[] = "X-Request-Id";
+// How long the caller waits, counted from when it sent the request.
 constexpr char kTimeLeft[] = "X-Time-Left-Ms";
 constexpr char kPromptTokens[] = "X-Prompt-Tokens";
 constexpr char kPromptParts[] = "X-Prompt-Parts";
 constexpr char kCustomer[] = "X-Customer";
-// The target that is meant; another one at the address answers 421.
+// Id of the intended target; a different target at this address responds with
+// 421.
 constexpr char kTarget[] = "X-Target";
-// Another target that keeps part of the prompt, as "ip:port".
+// Another target that has part of the prompt cached, as "ip:port".
 constexpr char kCopyFrom[] = "X-Copy-From";
-constexpr char kResumeAfter[] = "Last-Event-ID";
-// "no" in the answer of a target that has not run the request.
+constexpr char kLastEventId[] = "Last-Event-ID";
+// "no" in the response of a target that did not execute the request.
 constexpr char kAdmitted[] = "X-Admitted";
 
-constexpr std::size_t kMaxNameLength = 128;
+constexpr std::size_t kMaxRequestIdLength = 128;
 
-bool IsPlainName(std::string_view name) {
-  return name.size() <= kMaxNameLength &&
+bool IsValidRequestId(std::string_view name) {
+  return name.size() <= kMaxRequestIdLength &&
          std::all_of(name.begin(), name.end(), [](char c) {
            constexpr char kFirstVisible = '!';
            constexpr char kLastVisible = '~';
@@ -45,7 +45,7 @@
          });
 }
 
-error Unreadable(const char* field) {
+error MalformedField(const char* field) {
   return {.code = error_code::kMalformed,
           .step = "read call",
           .peer = {},
@@ -55,47 +55,47 @@
 }  // namespace
 
 route_dialect::route_dialect()
-    : routed_dialect({.name = kName,
+    : routed_dialect({.name = kRequestId,
                       .time_left = kTimeLeft,
                       .customer = kCustomer,
                       .target = kTarget,
-                      .resume_after = kResumeAfter,
+                      .resume_after = kLastEventId,
                       .copy_from = kCopyFrom,
                       .set_by_routers = {}}) {}
 
 result<gateway::call_facts> route_dialect::ReadCall(
     const net::http_request& request) const {
   gateway::call_facts facts{
-      .name = std::string(request[kName]),
+      .name = std::string(request[kRequestId]),
       .host_name = std::string(request[http::field::host]),
       .api_key = std::string(
           gateway::BearerToken(request[http::field::authorization]))};
-  if (!IsPlainName(facts.name)) {
-    return Unreadable(kName);
+  if (!IsValidRequestId(facts.name)) {
+    return MalformedField(kRequestId);
   }
   if (request.count(kPromptTokens) > 0) {
     facts.prompt = gateway::ReadPromptFields(request[kPromptTokens],
                                              request[kPromptParts]);
     if (!facts.prompt) {
-      return Unreadable(kPromptTokens);
+      return MalformedField(kPromptTokens);
     }
   }
   if (request.count(kTimeLeft) > 0) {
-    std::uint32_t time_ms = 0;
+    std::uint32_t time_left_ms = 0;
     const std::string_view text = request[kTimeLeft];
     const auto [end, problem] =
-        std::from_chars(text.data(), text.data() + text.size(), time_ms);
+        std::from_chars(text.data(), text.data() + text.size(), time_left_ms);
     if (problem != std::errc() || end != text.data() + text.size()) {
-      return Unreadable(kTimeLeft);
+      return MalformedField(kTimeLeft);
     }
-    facts.patience = milliseconds(time_ms);
+    facts.patience = milliseconds(time_left_ms);
   }
   return facts;
 }
 
 head_verdict route_dialect::Judge(const net::http_response_head& head,
                                   const gateway::outgoing_call& call) const {
-  const std::string_view name = head.fields[kName];
+  const std::string_view name = head.fields[kRequestId];
   if (head.status == kOtherTargetStatus) {
     return head_verdict::kOtherTarget;
   }
--- a/src/route_interface/route_adapter.h
+++ b/src/route_interface/route_adapter.h
@@ -1,4 +1,4 @@
-// The product's own interface for routes: callers, targets and operators.
+// Burdocklock's native route interface for callers, targets and operators.
 #pragma once
 
 #include <functional>
@@ -21,7 +21,7 @@
   }
   [[nodiscard]] const routes::i_configuration_reader& configurations()
       const override {
-    return reader_;
+    return configuration_reader_;
   }
   [[nodiscard]] std::unique_ptr<net::i_http_handler> MakeCommandHandler(
       control::i_control_commands& commands) const override;
@@ -31,7 +31,7 @@
  private:
   command_tokens tokens_;
   route_dialect dialect_;
-  configuration_document reader_;
+  configuration_document configuration_reader_;
 };
 
 }  // namespace burdocklock::route_interface
--- a/src/route_interface/route_dialect.h
+++ b/src/route_interface/route_dialect.h
@@ -1,11 +1,11 @@
-// The header fields of callers on routes and of the targets behind them.
+// HTTP header fields exchanged with callers of routes and with targets.
 #pragma once
 
 #include "gateway/routed_dialect.h"
 
 namespace burdocklock::route_interface {
 
-/// docs/operations/routes.md lists the fields.
+/// The fields are documented in docs/operations/routes.md.
 class route_dialect : public gateway::routed_dialect {
  public:
   route_dialect();
--- a/src/route_interface/tests/route_interface_unittest.cc
+++ b/src/route_interface/tests/route_interface_unittest.cc
@@ -1,4 +1,4 @@
-// The product's own form of configurations and of calls on routes.
+// The native configuration format and the header fields of calls to routes.
 #include <string>
 
 #include <rapidcheck/catch.h>
@@ -49,7 +49,7 @@
   }
 };
 
-TEST_CASE_METHOD(document_fixture, "document: whole: read member by member") {
+TEST_CASE_METHOD(document_fixture, "document: complete: every member is read") {
   const auto read = Read();
   REQUIRE(read.has_value());
   const routes::configuration& c = read.value();
@@ -84,20 +84,20 @@
 }
 
 TEST_CASE_METHOD(document_fixture,
-                 "document: member misspelt: refused with its place") {
+                 "document: misspelt member: refused with its path") {
   document["routes"][1]["timeout"] = 5;
   CHECK(Problem() == "routes[1].timeout: is not known");
 }
 
 TEST_CASE_METHOD(document_fixture,
-                 "document: member of another type: refused with its place") {
+                 "document: member of the wrong type: refused with its path") {
   document["services"][0]["cold_ms"] = "3000";
   CHECK(Problem() ==
         "services[0].cold_ms: must be an integer that is not negative");
 }
 
 TEST_CASE_METHOD(document_fixture,
-                 "document: kind not known: refused with those there are") {
+                 "document: unknown kind: refused with the valid kinds") {
   document["routes"][0]["kind"] = "streaming";
   CHECK(Problem() ==
         "routes[0].kind: must be idempotent, at_most_once or stream");
@@ -115,17 +115,18 @@
   CHECK_FALSE(configuration_document().Read("7").has_value());
 }
 
-TEST_CASE_METHOD(document_fixture,
-                 "document: any member replaced by anything: read or refused") {
+TEST_CASE_METHOD(
+    document_fixture,
+    "document: any member replaced by any value: read or refused") {
   rc::prop("no crash", [this] {
     const json flat = document.flatten();
-    const auto at = *rc::gen::inRange<std::size_t>(0, flat.size());
+    const auto index = *rc::gen::inRange<std::size_t>(0, flat.size());
     const json value = *rc::gen::element<json>(
         nullptr, -1, 1e300, "", "x", true, json::array(), json::object(),
         json::array({1, nullptr}));
     json changed = document;
     auto member = flat.begin();
-    std::advance(member, static_cast<std::ptrdiff_t>(at));
+    std::advance(member, static_cast<std::ptrdiff_t>(index));
     changed[json::json_pointer(member.key())] = value;
     const auto read = configuration_document().Read(changed.dump());
     if (read) {
@@ -154,7 +155,7 @@
   }
 };
 
-TEST_CASE_METHOD(dialect_fixture, "call on a route: whole: read") {
+TEST_CASE_METHOD(dialect_fixture, "call to a route: complete: read") {
   const auto facts = dialect.ReadCall(request);
   REQUIRE(facts.has_value());
   CHECK(facts.value().name == "n1");
@@ -165,7 +166,7 @@
   CHECK(facts.value().prompt->parts.at(1).id == 0x91bd3f06);
 }
 
-TEST_CASE_METHOD(dialect_fixture, "call on a route: field malformed: refused") {
+TEST_CASE_METHOD(dialect_fixture, "call to a route: malformed field: refused") {
   for (const auto& [field, value] : {std::pair("X-Time-Left-Ms", "-1"),
                                      {"X-Time-Left-Ms", "1x"},
                                      {"X-Prompt-Tokens", "a,b"},
@@ -177,8 +178,9 @@
   }
 }
 
-TEST_CASE_METHOD(dialect_fixture,
-                 "call on a route: fields that routers set: not the caller's") {
+TEST_CASE_METHOD(
+    dialect_fixture,
+    "call to a route: fields set by routers: the caller's values dropped") {
   request.set("X-Customer", "forged");
   request.set("X-Target", "forged");
   request.set("X-Copy-From", "forged");
@@ -203,7 +205,8 @@
   CHECK(built.count(http::field::authorization) == 0);
 }
 
-TEST_CASE_METHOD(dialect_fixture, "answer on a route: judged by its fields") {
+TEST_CASE_METHOD(dialect_fixture,
+                 "response on a route: classified by its fields") {
   CHECK(dialect.Judge(head, call) == head_verdict::kAnswer);
   head.status = 500;
   CHECK(dialect.Judge(head, call) == head_verdict::kAnswer);
--- a/src/route_interface/tests/route_path_unittest.cc
+++ b/src/route_interface/tests/route_path_unittest.cc
@@ -1,5 +1,5 @@
-// The product's own routes over loopback: a control host, a router, targets,
-// callers and operators.
+// End-to-end tests of the native route interface over loopback: a control host,
+// a router, targets, callers and operators.
 #include <chrono>
 #include <string>
 
@@ -18,15 +18,16 @@
 
 using nlohmann::json;
 
-constexpr char kOperator[] = "operator-token";
-constexpr char kTarget[] = "target-token";
+constexpr char kOperatorToken[] = "operator-token";
+constexpr char kTargetToken[] = "target-token";
 
 struct route_path_fixture : app::path_fixture<route_adapter> {
   int sequence = 0;
 
   route_path_fixture()
-      : path_fixture(route_adapter({.operators = {config::HashKey(kOperator)},
-                                    .targets = {config::HashKey(kTarget)}})) {}
+      : path_fixture(
+            route_adapter({.operators = {config::HashKey(kOperatorToken)},
+                           .targets = {config::HashKey(kTargetToken)}})) {}
 
   net::http_reply Command(http::verb verb,
                           const std::string& path,
@@ -58,7 +59,7 @@
   }
   void Replace(std::uint64_t version) const {
     REQUIRE(Until([&] {
-      return Command(http::verb::put, "/v1/configuration", kOperator,
+      return Command(http::verb::put, "/v1/configuration", kOperatorToken,
                      Configuration(version).dump())
                  .status == 200;
     }));
@@ -71,7 +72,7 @@
             {"cold_slots", 4},    {"sequence", ++sequence}};
   }
   void Announce(const std::string& target, const endpoint& address) {
-    REQUIRE(Command(http::verb::post, "/v1/targets/announce", kTarget,
+    REQUIRE(Command(http::verb::post, "/v1/targets/announce", kTargetToken,
                     Announcement(target, address).dump())
                 .status == 200);
   }
@@ -86,15 +87,15 @@
     }
     return Call(addresses.callers, std::move(request));
   }
-  bool IsServed() const {
+  bool BecomesServed() const {
     return Until([&] { return CallRoute("/stock/1").status == 200; });
   }
 };
 
-std::string Answer(const net::http_request& request,
-                   const std::string& status,
-                   const std::string& body,
-                   const std::string& fields = "") {
+std::string BuildResponse(const net::http_request& request,
+                          const std::string& status,
+                          const std::string& body,
+                          const std::string& fields = "") {
   return "HTTP/1.1 " + status +
          "\r\nX-Request-Id: " + std::string(request["X-Request-Id"]) + "\r\n" +
          fields + "Content-Length: " + std::to_string(body.size()) +
@@ -108,20 +109,20 @@
 }
 
 TEST_CASE_METHOD(route_path_fixture,
-                 "routes: configured and announced: served under the caller's "
-                 "name, or a new one") {
+                 "routes: configured and announced: served with the caller's "
+                 "request id, or a generated one") {
   std::string customer;
-  std::string target_name;
+  std::string target_id_field;
   app::fake_target target([&](const net::http_request& request) {
     customer = std::string(request["X-Customer"]);
-    target_name = std::string(request["X-Target"]);
-    return app::fake_answer{.bytes = Answer(request, "200 OK", "b")};
+    target_id_field = std::string(request["X-Target"]);
+    return app::fake_answer{.bytes = BuildResponse(request, "200 OK", "b")};
   });
   Replace(1);
   Announce("t", target.address());
-  REQUIRE(IsServed());
+  REQUIRE(BecomesServed());
   CHECK(customer == "c");
-  CHECK(target_name == "t");
+  CHECK(target_id_field == "t");
   CHECK(Readiness("/readyz") == 200);
   CHECK(CallRoute("/stock/1", "k", "mine").fields["X-Request-Id"] == "mine");
   CHECK(!CallRoute("/stock/1").fields["X-Request-Id"].empty());
@@ -130,32 +131,34 @@
 }
 
 TEST_CASE_METHOD(route_path_fixture,
-                 "routes: target has not admitted an order: refused as not "
-                 "run, never repeated there") {
+                 "routes: order not admitted by the target: refused as not "
+                 "run, never retried on that target") {
   app::fake_target target([&](const net::http_request& request) {
     return app::fake_answer{
-        .bytes = request.target() == "/stock/1"
-                     ? Answer(request, "200 OK", "b")
-                     : Answer(request, "503 Busy", "", "X-Admitted: no\r\n")};
+        .bytes =
+            request.target() == "/stock/1"
+                ? BuildResponse(request, "200 OK", "b")
+                : BuildResponse(request, "503 Busy", "", "X-Admitted: no\r\n")};
   });
   Replace(1);
   Announce("t", target.address());
-  REQUIRE(IsServed());
+  REQUIRE(BecomesServed());
   CHECK(CallRoute("/orders/1").status == 503);
 }
 
-TEST_CASE_METHOD(route_path_fixture,
-                 "routes: order fails at its target: passed on, run once") {
+TEST_CASE_METHOD(
+    route_path_fixture,
+    "routes: order fails on its target: failure returned, run once") {
   int orders = 0;
   app::fake_target target([&](const net::http_request& request) {
     const bool order = request.target() == "/orders/1";
     orders += order ? 1 : 0;
     return app::fake_answer{
-        .bytes = Answer(request, order ? "500 Error" : "200 OK", "b")};
+        .bytes = BuildResponse(request, order ? "500 Error" : "200 OK", "b")};
   });
   Replace(1);
   Announce("t", target.address());
-  REQUIRE(IsServed());
+  REQUIRE(BecomesServed());
   CHECK(CallRoute("/orders/1").status == 500);
   CHECK(orders == 1);
 }
@@ -163,43 +166,45 @@
 TEST_CASE_METHOD(route_path_fixture,
                  "routes: target withdrawn: calls are refused as not run") {
   app::fake_target target([&](const net::http_request& request) {
-    return app::fake_answer{.bytes = Answer(request, "200 OK", "b")};
+    return app::fake_answer{.bytes = BuildResponse(request, "200 OK", "b")};
   });
   Replace(1);
   Announce("t", target.address());
-  REQUIRE(IsServed());
-  REQUIRE(Command(http::verb::post, "/v1/targets/withdraw", kTarget,
+  REQUIRE(BecomesServed());
+  REQUIRE(Command(http::verb::post, "/v1/targets/withdraw", kTargetToken,
                   R"({"target":"t"})")
               .status == 200);
   CHECK(Until([&] { return CallRoute("/stock/1").status == 503; }));
 }
 
 TEST_CASE_METHOD(route_path_fixture,
-                 "routes: data centre taken out and back in: nothing is sent "
-                 "there meanwhile") {
+                 "routes: data centre taken out and back in: no calls are "
+                 "sent there meanwhile") {
   app::fake_target target([&](const net::http_request& request) {
-    return app::fake_answer{.bytes = Answer(request, "200 OK", "b")};
+    return app::fake_answer{.bytes = BuildResponse(request, "200 OK", "b")};
   });
   Replace(1);
   Announce("t", target.address());
-  REQUIRE(IsServed());
-  const std::string place = "/v1/data-centres/z/";
-  REQUIRE(Command(http::verb::post, place + "out", kOperator).status == 200);
+  REQUIRE(BecomesServed());
+  const std::string data_centre_path = "/v1/data-centres/z/";
+  REQUIRE(Command(http::verb::post, data_centre_path + "out", kOperatorToken)
+              .status == 200);
   CHECK(Until([&] { return CallRoute("/stock/1").status == 503; }));
   const int before = target.requests;
   CHECK(CallRoute("/stock/1").status == 503);
   CHECK(target.requests == before);
-  REQUIRE(Command(http::verb::post, place + "in", kOperator).status == 200);
-  CHECK(IsServed());
-  CHECK(Command(http::verb::post, "/v1/data-centres/q/out", kOperator).status ==
-        404);
+  REQUIRE(Command(http::verb::post, data_centre_path + "in", kOperatorToken)
+              .status == 200);
+  CHECK(BecomesServed());
+  CHECK(Command(http::verb::post, "/v1/data-centres/q/out", kOperatorToken)
+            .status == 404);
 }
 
 TEST_CASE_METHOD(route_path_fixture,
-                 "routes: newest configuration: read back as it was given") {
+                 "routes: latest configuration: read back unchanged") {
   Replace(3);
   const net::http_reply read =
-      Command(http::verb::get, "/v1/configuration", kOperator);
+      Command(http::verb::get, "/v1/configuration", kOperatorToken);
   CHECK(json::parse(read.body) == Configuration(3));
 }
 
@@ -210,29 +215,27 @@
   const std::string path = "/v1/configuration";
   json unknown = Configuration(2);
   unknown["routes"][0]["timeoutms"] = 5;
-  CHECK(Command(http::verb::put, path, kOperator, unknown.dump()).status ==
+  CHECK(Command(http::verb::put, path, kOperatorToken, unknown.dump()).status ==
         400);
-  CHECK(Command(http::verb::put, path, kOperator, "{").status == 400);
-  CHECK(
-      Command(http::verb::put, path, kTarget, Configuration(2).dump()).status ==
-      401);
+  CHECK(Command(http::verb::put, path, kOperatorToken, "{").status == 400);
+  CHECK(Command(http::verb::put, path, kTargetToken, Configuration(2).dump())
+            .status == 401);
   CHECK(Command(http::verb::get, path, "").status == 401);
-  CHECK(Command(http::verb::post, "/v1/targets/announce", kOperator, "{}")
+  CHECK(Command(http::verb::post, "/v1/targets/announce", kOperatorToken, "{}")
             .status == 401);
-  CHECK(
-      Command(http::verb::post, "/v1/targets/announce", kTarget, "{}").status ==
-      400);
-  json unnumbered = Announcement("t", {.port = 1});
-  unnumbered.erase("sequence");
-  CHECK(Command(http::verb::post, "/v1/targets/announce", kTarget,
-                unnumbered.dump())
+  CHECK(Command(http::verb::post, "/v1/targets/announce", kTargetToken, "{}")
+            .status == 400);
+  json without_sequence = Announcement("t", {.port = 1});
+  without_sequence.erase("sequence");
+  CHECK(Command(http::verb::post, "/v1/targets/announce", kTargetToken,
+                without_sequence.dump())
+            .status == 400);
+  CHECK(Command(http::verb::post, "/v1/targets/withdraw", kTargetToken, "[]")
             .status == 400);
-  CHECK(
-      Command(http::verb::post, "/v1/targets/withdraw", kTarget, "[]").status ==
-      400);
-  CHECK(Command(http::verb::delete_, path, kOperator).status == 405);
-  CHECK(Command(http::verb::get, "/v1/none", kOperator).status == 404);
-  const auto read = json::parse(Command(http::verb::get, path, kOperator).body);
+  CHECK(Command(http::verb::delete_, path, kOperatorToken).status == 405);
+  CHECK(Command(http::verb::get, "/v1/none", kOperatorToken).status == 404);
+  const auto read =
+      json::parse(Command(http::verb::get, path, kOperatorToken).body);
   CHECK(read["version"] == 1);
 }
 
