--- a/src/config/config_reader.h
+++ b/src/config/config_reader.h
@@ -1,5 +1,5 @@
-// Reads and checks the TOML files of a daemon. A file is taken whole or not at
-// all; the first problem is reported with file, line and key.
+// Reads and validates the TOML files of a daemon. A file with any error is
+// rejected entirely; the first error is reported with file, line and key.
 #pragma once
 
 #include <string>
@@ -11,16 +11,16 @@
 
 namespace burdocklock::config {
 
-/// Parses settings. `file` is used in errors and as the base for a relative
-/// sheet path.
+/// Parses settings. `file` appears in errors, and a relative sheet path is
+/// resolved against its directory.
 result<settings> ParseSettings(std::string_view text, const std::string& file);
 result<settings> ReadSettings(const std::string& file);
 
-/// Parses a sheet. `file` is used in errors.
+/// Parses a sheet. `file` appears in errors.
 result<sheet> ParseSheet(std::string_view text, const std::string& file);
 result<sheet> ReadSheet(const std::string& file);
 
-/// The sheet as TOML that `ParseSheet` reads back to an equal value.
+/// Formats the sheet as TOML; `ParseSheet` of the result yields an equal sheet.
 std::string FormatSheet(const sheet& sheet);
 
 }  // namespace burdocklock::config
--- a/src/config/internal/checked_table.cc
+++ b/src/config/internal/checked_table.cc
@@ -1,38 +1,38 @@
-// See the header.
 #include "config/internal/checked_table.h"
 
 namespace burdocklock::config {
 
-void problem_log::Report(const toml::source_region& where,
-                         std::string_view key,
-                         std::string_view problem) {
-  if (problem_) {
+void error_recorder::Report(const toml::source_region& location,
+                            std::string_view key,
+                            std::string_view message) {
+  if (first_error_) {
     return;
   }
-  problem_ = error{.code = error_code::kInvalidArgument,
-                   .step = step_,
-                   .peer = file_,
-                   .detail = "line " + std::to_string(where.begin.line) + ": " +
-                             std::string(key) + ": " + std::string(problem)};
+  first_error_ =
+      error{.code = error_code::kInvalidArgument,
+            .step = step_,
+            .peer = file_,
+            .detail = "line " + std::to_string(location.begin.line) + ": " +
+                      std::string(key) + ": " + std::string(message)};
 }
 
 checked_table::checked_table(const toml::table& table,
                              std::string path,
-                             problem_log& log)
-    : table_(table), path_(std::move(path)), log_(log) {}
+                             error_recorder& errors)
+    : table_(table), path_(std::move(path)), errors_(errors) {}
 
-std::string checked_table::Path(std::string_view key) const {
+std::string checked_table::QualifiedKey(std::string_view key) const {
   return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-void checked_table::Report(std::string_view key, std::string_view problem) {
+void checked_table::Report(std::string_view key, std::string_view message) {
   const toml::node* node = table_.get(key);
-  log_.Report(node != nullptr ? node->source() : table_.source(), Path(key),
-              problem);
+  errors_.Report(node != nullptr ? node->source() : table_.source(),
+                 QualifiedKey(key), message);
 }
 
 const toml::node* checked_table::Find(std::string_view key) {
-  known_.emplace(key);
+  read_keys_.emplace(key);
   return table_.get(key);
 }
 
@@ -137,7 +137,8 @@
   }
   for (const toml::node& element : *node->as_array()) {
     if (!element.is_string()) {
-      log_.Report(element.source(), Path(key), "must hold strings only");
+      errors_.Report(element.source(), QualifiedKey(key),
+                     "must hold strings only");
       return values;
     }
     values.push_back(element.as_string()->get());
@@ -169,7 +170,8 @@
   }
   for (const toml::node& element : *node->as_array()) {
     if (!element.is_table()) {
-      log_.Report(element.source(), Path(key), "must hold tables only");
+      errors_.Report(element.source(), QualifiedKey(key),
+                     "must hold tables only");
       return tables;
     }
     tables.push_back(element.as_table());
@@ -177,10 +179,10 @@
   return tables;
 }
 
-void checked_table::Finish() {
+void checked_table::RejectUnknownKeys() {
   for (const auto& [key, node] : table_) {
-    if (!known_.contains(key.str())) {
-      log_.Report(key.source(), Path(key.str()), "unknown key");
+    if (!read_keys_.contains(key.str())) {
+      errors_.Report(key.source(), QualifiedKey(key.str()), "unknown key");
     }
   }
 }
--- a/src/config/internal/checked_table.h
+++ b/src/config/internal/checked_table.h
@@ -1,5 +1,5 @@
-// Typed access to a TOML table that reports the first problem with file, line
-// and key, and finds unknown keys.
+// Typed access to TOML tables that reports the first error with file, line and
+// key, and detects unknown keys.
 #pragma once
 
 #include <cstdint>
@@ -16,31 +16,33 @@
 
 namespace burdocklock::config {
 
-/// Collects the first problem found in one file.
-class problem_log {
+/// Keeps the first error found in a file and ignores later ones.
+class error_recorder {
  public:
-  problem_log(std::string step, std::string file)
+  error_recorder(std::string step, std::string file)
       : step_(std::move(step)), file_(std::move(file)) {}
 
-  void Report(const toml::source_region& where,
+  void Report(const toml::source_region& location,
               std::string_view key,
-              std::string_view problem);
-  [[nodiscard]] bool ok() const { return !problem_.has_value(); }
-  [[nodiscard]] const error& problem() const { return *problem_; }
+              std::string_view message);
+  [[nodiscard]] bool ok() const { return !first_error_.has_value(); }
+  [[nodiscard]] const error& first_error() const { return *first_error_; }
 
  private:
   std::string step_;
   std::string file_;
-  std::optional<error> problem_;
+  std::optional<error> first_error_;
 };
 
-/// A table whose keys are read one by one. Reading a key marks it as known;
-/// `Finish` reports the first key that was not read.
+/// Tracks which keys of a table have been read; `RejectUnknownKeys` reports the
+/// first one that has not.
 class checked_table {
  public:
-  checked_table(const toml::table& table, std::string path, problem_log& log);
+  checked_table(const toml::table& table,
+                std::string path,
+                error_recorder& errors);
 
-  /// Required values: report a problem and return a default if absent.
+  /// Required values: if absent, report an error and return an empty value.
   std::string RequiredString(std::string_view key);
   double RequiredNumber(std::string_view key);
 
@@ -52,25 +54,25 @@
                                       std::int64_t max);
   std::optional<toml::date_time> DateTime(std::string_view key);
   std::vector<std::string> Strings(std::string_view key);
-  /// A nested table, or nullptr if absent.
+  /// Returns a nested table, or nullptr if absent.
   const toml::table* Table(std::string_view key);
-  /// An array of tables; empty if absent.
+  /// Returns an array of tables; empty if absent.
   std::vector<const toml::table*> Tables(std::string_view key);
 
-  void Report(std::string_view key, std::string_view problem);
-  /// Reports keys that no reader asked for.
-  void Finish();
+  void Report(std::string_view key, std::string_view message);
+  /// Reports keys that have not been read.
+  void RejectUnknownKeys();
 
-  [[nodiscard]] std::string Path(std::string_view key) const;
-  [[nodiscard]] problem_log& log() { return log_; }
+  [[nodiscard]] std::string QualifiedKey(std::string_view key) const;
+  [[nodiscard]] error_recorder& errors() { return errors_; }
 
  private:
   const toml::node* Find(std::string_view key);
 
   const toml::table& table_;
   std::string path_;
-  problem_log& log_;
-  std::set<std::string, std::less<>> known_;
+  error_recorder& errors_;
+  std::set<std::string, std::less<>> read_keys_;
 };
 
 }  // namespace burdocklock::config
--- a/src/config/internal/key_hashing.cc
+++ b/src/config/internal/key_hashing.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "config/key_hashing.h"
 
 #include <openssl/crypto.h>
--- a/src/config/internal/settings_reader.cc
+++ b/src/config/internal/settings_reader.cc
@@ -1,4 +1,4 @@
-// Reads a daemon's settings.
+// Parses the settings of a daemon.
 #include <filesystem>
 
 #include "config/config_reader.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr char kStep[] = "read settings";
+constexpr char kReadStep[] = "read settings";
 constexpr double kMillisecondsPerSecond = 1000;
 constexpr std::int64_t kMaxMilliseconds = 24LL * 3600 * 1000;
 
@@ -104,7 +104,7 @@
   if (node == nullptr) {
     return;
   }
-  checked_table table(*node, "control", root.log());
+  checked_table table(*node, "control", root.errors());
   control_settings& control = out.control;
   for (const std::string& text : table.Strings("hosts")) {
     const std::optional<endpoint> host = ParseEndpoint(text);
@@ -128,7 +128,7 @@
   for (const std::string& name : table.Strings("data_centres")) {
     control.data_centres.emplace_back(name);
   }
-  table.Finish();
+  table.RejectUnknownKeys();
 }
 
 void ReadListen(checked_table& root, settings& out) {
@@ -136,13 +136,13 @@
   if (node == nullptr) {
     return;
   }
-  checked_table table(*node, "listen", root.log());
+  checked_table table(*node, "listen", root.errors());
   ReadEndpoint(table, "callers", out.callers);
   ReadEndpoint(table, "operators", out.operators);
   ReadEndpoint(table, "peers", out.peer_listener);
   ReadEndpoint(table, "readiness", out.readiness);
   ReadEndpoint(table, "commands", out.commands);
-  table.Finish();
+  table.RejectUnknownKeys();
 }
 
 void ReadTokens(checked_table& root, settings& out) {
@@ -150,10 +150,10 @@
   if (node == nullptr) {
     return;
   }
-  checked_table table(*node, "tokens", root.log());
+  checked_table table(*node, "tokens", root.errors());
   out.target_tokens = ReadKeyHashes(table, "targets_sha256");
   out.operator_tokens = ReadKeyHashes(table, "operators_sha256");
-  table.Finish();
+  table.RejectUnknownKeys();
 }
 
 void ReadLog(checked_table& root, settings& out) {
@@ -161,7 +161,7 @@
   if (node == nullptr) {
     return;
   }
-  checked_table table(*node, "log", root.log());
+  checked_table table(*node, "log", root.errors());
   out.log.path = table.String("path").value_or("");
   const std::string level = table.String("level").value_or("info");
   if (level == "debug") {
@@ -175,7 +175,7 @@
   } else {
     table.Report("level", "must be debug, info, warning or error");
   }
-  table.Finish();
+  table.RejectUnknownKeys();
 }
 
 void ReadLimits(checked_table& root, settings& out) {
@@ -184,7 +184,7 @@
     return;
   }
   constexpr std::int64_t kMaxBytes = 1LL << 30;
-  checked_table table(*node, "limits", root.log());
+  checked_table table(*node, "limits", root.errors());
   limit_settings& limits = out.limits;
   ReadCount(table, "traffic_threads", 1, 64, limits.traffic_threads);
   limits.share_control_thread =
@@ -196,7 +196,7 @@
   ReadCount(table, "max_queued_per_customer", 1, 1'000'000,
             limits.max_queued_per_customer);
   ReadCount(table, "max_queued_total", 1, 1'000'000, limits.max_queued_total);
-  table.Finish();
+  table.RejectUnknownKeys();
 }
 
 void ReadTimeouts(checked_table& root, settings& out) {
@@ -204,7 +204,7 @@
   if (node == nullptr) {
     return;
   }
-  checked_table table(*node, "timeouts", root.log());
+  checked_table table(*node, "timeouts", root.errors());
   timeout_settings& timeouts = out.timeouts;
   ReadMilliseconds(table, "caller_idle_ms", 1, timeouts.caller_idle);
   ReadMilliseconds(table, "caller_read_ms", 1, timeouts.caller_read);
@@ -224,7 +224,7 @@
     timeouts.shutdown = std::chrono::milliseconds(
         static_cast<std::int64_t>(*seconds * kMillisecondsPerSecond));
   }
-  table.Finish();
+  table.RejectUnknownKeys();
 }
 
 void ReadRetries(checked_table& root, settings& out) {
@@ -232,7 +232,7 @@
   if (node == nullptr) {
     return;
   }
-  checked_table table(*node, "retries", root.log());
+  checked_table table(*node, "retries", root.errors());
   ReadCount(table, "max_attempts", 1, 10, out.retries.max_attempts);
   out.retries.budget_ratio =
       table.Number("budget_ratio").value_or(out.retries.budget_ratio);
@@ -249,7 +249,7 @@
   if (out.retries.budget_per_second < 0) {
     table.Report("budget_per_second", "must not be negative");
   }
-  table.Finish();
+  table.RejectUnknownKeys();
 }
 
 void ReadIdentity(checked_table& root, const std::string& file, settings& out) {
@@ -267,12 +267,12 @@
 }  // namespace
 
 result<settings> ParseSettings(std::string_view text, const std::string& file) {
-  result<toml::table> parsed = ParseToml(text, file, kStep);
+  result<toml::table> parsed = ParseToml(text, file, kReadStep);
   if (!parsed) {
     return parsed.error();
   }
-  problem_log log(kStep, file);
-  checked_table root(parsed.value(), "", log);
+  error_recorder errors(kReadStep, file);
+  checked_table root(parsed.value(), "", errors);
   settings out;
   ReadInterface(root, out);
   ReadIdentity(root, file, out);
@@ -285,15 +285,15 @@
   ReadLimits(root, out);
   ReadTimeouts(root, out);
   ReadRetries(root, out);
-  root.Finish();
-  if (!log.ok()) {
-    return log.problem();
+  root.RejectUnknownKeys();
+  if (!errors.ok()) {
+    return errors.first_error();
   }
   return out;
 }
 
 result<settings> ReadSettings(const std::string& file) {
-  const result<std::string> text = ReadFile(file, kStep);
+  const result<std::string> text = ReadFile(file, kReadStep);
   if (!text) {
     return text.error();
   }
--- a/src/config/internal/sheet.cc
+++ b/src/config/internal/sheet.cc
@@ -1,4 +1,3 @@
-// Queries on the sheet.
 #include "config/types/sheet.h"
 
 #include <algorithm>
@@ -11,8 +10,9 @@
 constexpr std::array<std::string_view, 6> kIdempotentMethods = {
     "GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE"};
 
-// "/orders" covers "/orders" and "/orders/7" but not "/orders-archive".
-bool CoversPath(std::string_view prefix, std::string_view path) {
+// Matches whole path segments: "/orders" matches "/orders" and "/orders/7" but
+// not "/orders-archive".
+bool MatchesPath(std::string_view prefix, std::string_view path) {
   if (!path.starts_with(prefix)) {
     return false;
   }
@@ -20,11 +20,11 @@
          path[prefix.size()] == '/' || path[prefix.size()] == '?';
 }
 
-bool AnyCovers(const std::vector<call_rule>& rules,
-               std::string_view method,
-               std::string_view path) {
+bool AnyRuleMatches(const std::vector<call_rule>& rules,
+                    std::string_view method,
+                    std::string_view path) {
   return std::any_of(rules.begin(), rules.end(), [&](const call_rule& rule) {
-    return CoversPath(rule.path_prefix, path) &&
+    return MatchesPath(rule.path_prefix, path) &&
            std::find(rule.methods.begin(), rule.methods.end(), method) !=
                rule.methods.end();
   });
@@ -35,10 +35,10 @@
 bool IsNonRepeatable(const service& service,
                      std::string_view method,
                      std::string_view path) {
-  if (AnyCovers(service.non_repeatable, method, path)) {
+  if (AnyRuleMatches(service.non_repeatable, method, path)) {
     return true;
   }
-  if (AnyCovers(service.repeatable, method, path)) {
+  if (AnyRuleMatches(service.repeatable, method, path)) {
     return false;
   }
   return std::find(kIdempotentMethods.begin(), kIdempotentMethods.end(),
--- a/src/config/internal/sheet_index.cc
+++ b/src/config/internal/sheet_index.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "config/sheet_index.h"
 
 #include <algorithm>
@@ -25,7 +24,7 @@
 sheet_index::sheet_index(sheet sheet) : sheet_(std::move(sheet)) {
   for (const customer& customer : sheet_.customers) {
     for (const key_hash& hash : customer.api_keys) {
-      keys_.emplace(HashPrefix(hash), key_entry{hash, &customer});
+      customers_by_key_.emplace(HashPrefix(hash), key_entry{hash, &customer});
     }
   }
   for (const service& service : sheet_.services) {
@@ -38,7 +37,7 @@
 
 const customer* sheet_index::FindByKey(std::string_view api_key) const {
   const key_hash hash = HashKey(api_key);
-  const auto [first, last] = keys_.equal_range(HashPrefix(hash));
+  const auto [first, last] = customers_by_key_.equal_range(HashPrefix(hash));
   for (auto it = first; it != last; ++it) {
     if (KeysEqual(hash, it->second.hash)) {
       return it->second.owner;
--- a/src/config/internal/sheet_reader.cc
+++ b/src/config/internal/sheet_reader.cc
@@ -1,4 +1,4 @@
-// Reads and writes the sheet.
+// Parses and formats the sheet.
 #include <cmath>
 #include <sstream>
 #include <unordered_set>
@@ -12,48 +12,48 @@
 
 namespace {
 
-constexpr char kStep[] = "read sheet";
+constexpr char kReadStep[] = "read sheet";
 
-// Parses one sheet and checks references between its parts.
+// Parses a sheet and validates the references between its entries.
 class sheet_parser {
  public:
-  sheet_parser(const toml::table& root, problem_log& log)
-      : root_(root, "", log), log_(log) {}
+  sheet_parser(const toml::table& root, error_recorder& errors)
+      : root_table_(root, "", errors), errors_(errors) {}
 
   sheet Parse() {
     ParseDataCentres();
     ParseModels();
     ParseServices();
     ParseCustomers();
-    root_.Finish();
+    root_table_.RejectUnknownKeys();
     return std::move(sheet_);
   }
 
  private:
   void ParseDataCentres() {
-    for (const toml::table* node : root_.Tables("data_centres")) {
-      checked_table table(*node, "data_centres", log_);
+    for (const toml::table* node : root_table_.Tables("data_centres")) {
+      checked_table table(*node, "data_centres", errors_);
       data_centre parsed;
       parsed.id = data_centre_id(table.RequiredString("id"));
       parsed.region = region_id(table.RequiredString("region"));
       for (const toml::table* outage : table.Tables("planned_outages")) {
         parsed.planned_outages.push_back(ParseOutage(*outage));
       }
-      CheckUnique(data_centres_, parsed.id.value(), table);
+      CheckUnique(data_centre_ids_, parsed.id.value(), table);
       regions_.insert(parsed.region.value());
-      table.Finish();
+      table.RejectUnknownKeys();
       sheet_.data_centres.push_back(std::move(parsed));
     }
   }
 
   outage_window ParseOutage(const toml::table& node) {
-    checked_table table(node, "data_centres.planned_outages", log_);
+    checked_table table(node, "data_centres.planned_outages", errors_);
     const outage_window window{.from = ParseTime(table, "from"),
                                .to = ParseTime(table, "to")};
     if (window.to <= window.from) {
       table.Report("to", "must be later than from");
     }
-    table.Finish();
+    table.RejectUnknownKeys();
     return window;
   }
 
@@ -77,25 +77,25 @@
   }
 
   void ParseModels() {
-    for (const toml::table* node : root_.Tables("models")) {
-      checked_table table(*node, "models", log_);
+    for (const toml::table* node : root_table_.Tables("models")) {
+      checked_table table(*node, "models", errors_);
       model parsed{.id = pool_id(table.RequiredString("id"))};
-      CheckUnique(pools_, parsed.id.value(), table);
-      models_.insert(parsed.id.value());
-      table.Finish();
+      CheckUnique(pool_ids_, parsed.id.value(), table);
+      model_ids_.insert(parsed.id.value());
+      table.RejectUnknownKeys();
       sheet_.models.push_back(std::move(parsed));
     }
   }
 
   void ParseServices() {
-    for (const toml::table* node : root_.Tables("services")) {
-      checked_table table(*node, "services", log_);
+    for (const toml::table* node : root_table_.Tables("services")) {
+      checked_table table(*node, "services", errors_);
       service parsed{.id = pool_id(table.RequiredString("id"))};
       parsed.non_repeatable = ParseRules(table, "non_repeatable");
       parsed.repeatable = ParseRules(table, "repeatable");
-      CheckUnique(pools_, parsed.id.value(), table);
-      services_.insert(parsed.id.value());
-      table.Finish();
+      CheckUnique(pool_ids_, parsed.id.value(), table);
+      service_ids_.insert(parsed.id.value());
+      table.RejectUnknownKeys();
       sheet_.services.push_back(std::move(parsed));
     }
   }
@@ -104,7 +104,7 @@
                                     std::string_view key) {
     std::vector<call_rule> rules;
     for (const toml::table* node : owner.Tables(key)) {
-      checked_table table(*node, owner.Path(key), log_);
+      checked_table table(*node, owner.QualifiedKey(key), errors_);
       call_rule rule{.methods = table.Strings("methods"),
                      .path_prefix = table.RequiredString("path")};
       if (rule.methods.empty()) {
@@ -113,15 +113,15 @@
       if (!rule.path_prefix.starts_with('/')) {
         table.Report("path", "must start with /");
       }
-      table.Finish();
+      table.RejectUnknownKeys();
       rules.push_back(std::move(rule));
     }
     return rules;
   }
 
   void ParseCustomers() {
-    for (const toml::table* node : root_.Tables("customers")) {
-      checked_table table(*node, "customers", log_);
+    for (const toml::table* node : root_table_.Tables("customers")) {
+      checked_table table(*node, "customers", errors_);
       customer parsed;
       parsed.id = customer_id(table.RequiredString("id"));
       parsed.share = table.RequiredNumber("share");
@@ -129,8 +129,8 @@
         table.Report("share", "must be positive");
       }
       parsed.api_keys = ParseApiKeys(table);
-      parsed.models = ParsePools(table, "models", models_);
-      parsed.services = ParsePools(table, "services", services_);
+      parsed.models = ParsePools(table, "models", model_ids_);
+      parsed.services = ParsePools(table, "services", service_ids_);
       parsed.home_region = region_id(table.RequiredString("home_region"));
       if (!regions_.contains(parsed.home_region.value())) {
         table.Report("home_region", "no data centre is in that region");
@@ -138,8 +138,8 @@
       if (const auto limit = table.Integer("max_queued", 1, 1'000'000)) {
         parsed.max_queued = static_cast<std::uint32_t>(*limit);
       }
-      CheckUnique(customers_, parsed.id.value(), table);
-      table.Finish();
+      CheckUnique(customer_ids_, parsed.id.value(), table);
+      table.RejectUnknownKeys();
       sheet_.customers.push_back(std::move(parsed));
     }
   }
@@ -153,7 +153,7 @@
                      "must hold SHA-256 hashes of 64 hexadecimal digits");
         break;
       }
-      if (!api_keys_.insert(text).second) {
+      if (!seen_api_keys_.insert(text).second) {
         table.Report("api_keys_sha256", "key is used twice");
       }
       keys.push_back(*hash);
@@ -183,17 +183,17 @@
     }
   }
 
-  checked_table root_;
-  problem_log& log_;
+  checked_table root_table_;
+  error_recorder& errors_;
   sheet sheet_;
-  std::unordered_set<std::string> data_centres_;
+  std::unordered_set<std::string> data_centre_ids_;
   std::unordered_set<std::string> regions_;
-  std::unordered_set<std::string> models_;
-  std::unordered_set<std::string> services_;
-  // Models and services share one name space: both are pools.
-  std::unordered_set<std::string> pools_;
-  std::unordered_set<std::string> customers_;
-  std::unordered_set<std::string> api_keys_;
+  std::unordered_set<std::string> model_ids_;
+  std::unordered_set<std::string> service_ids_;
+  // Models and services share one namespace, since both are pools.
+  std::unordered_set<std::string> pool_ids_;
+  std::unordered_set<std::string> customer_ids_;
+  std::unordered_set<std::string> seen_api_keys_;
 };
 
 toml::date_time ToDateTime(wall_time time) {
@@ -263,20 +263,20 @@
 }  // namespace
 
 result<sheet> ParseSheet(std::string_view text, const std::string& file) {
-  result<toml::table> parsed = ParseToml(text, file, kStep);
+  result<toml::table> parsed = ParseToml(text, file, kReadStep);
   if (!parsed) {
     return parsed.error();
   }
-  problem_log log(kStep, file);
-  sheet out = sheet_parser(parsed.value(), log).Parse();
-  if (!log.ok()) {
-    return log.problem();
+  error_recorder errors(kReadStep, file);
+  sheet out = sheet_parser(parsed.value(), errors).Parse();
+  if (!errors.ok()) {
+    return errors.first_error();
   }
   return out;
 }
 
 result<sheet> ReadSheet(const std::string& file) {
-  const result<std::string> text = ReadFile(file, kStep);
+  const result<std::string> text = ReadFile(file, kReadStep);
   if (!text) {
     return text.error();
   }
--- a/src/config/internal/toml_file.cc
+++ b/src/config/internal/toml_file.cc
@@ -1,4 +1,3 @@
-// See the header.
 #include "config/internal/toml_file.h"
 
 #include <cerrno>
@@ -27,16 +26,16 @@
 result<toml::table> ParseToml(std::string_view text,
                               const std::string& file,
                               const std::string& step) {
-  // toml++ reports syntax errors by exception only in this configuration.
+  // With exceptions enabled, toml++ reports syntax errors only by throwing.
   try {
     return toml::parse(text, file);
-  } catch (const toml::parse_error& problem) {
+  } catch (const toml::parse_error& syntax_error) {
     return error{.code = error_code::kMalformed,
                  .step = step,
                  .peer = file,
                  .detail = "line " +
-                           std::to_string(problem.source().begin.line) + ": " +
-                           std::string(problem.description())};
+                           std::to_string(syntax_error.source().begin.line) +
+                           ": " + std::string(syntax_error.description())};
   }
 }
 
--- a/src/config/internal/toml_file.h
+++ b/src/config/internal/toml_file.h
@@ -1,4 +1,4 @@
-// Reading and parsing of whole TOML files.
+// Reads and parses TOML files.
 #pragma once
 
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace burdocklock::config {
 
-/// Contents of `file`; `step` names what it is read for.
+/// Returns the contents of `file`; `step` names the operation in errors.
 result<std::string> ReadFile(const std::string& file, const std::string& step);
 
-/// Parses TOML; syntax errors carry the line.
+/// Parses TOML; syntax errors are reported with the line.
 result<toml::table> ParseToml(std::string_view text,
                               const std::string& file,
                               const std::string& step);
--- a/src/config/key_hashing.h
+++ b/src/config/key_hashing.h
@@ -13,15 +13,15 @@
 /// SHA-256 of `secret`.
 key_hash HashKey(std::string_view secret);
 
-/// Lower-case hexadecimal form.
+/// Formats the hash as lower-case hexadecimal digits.
 std::string FormatKeyHash(const key_hash& hash);
-/// Reads 64 hexadecimal digits; nullopt for anything else.
+/// Parses 64 hexadecimal digits; returns nullopt for anything else.
 std::optional<key_hash> ParseKeyHash(std::string_view text);
 
 /// Compares in constant time.
 bool KeysEqual(const key_hash& a, const key_hash& b);
-/// True if `hash` is one of `accepted`; takes the same time wherever it
-/// stands.
+/// Returns whether `accepted` contains `hash`, in time independent of its
+/// position.
 bool IsAcceptedKey(const key_hash& hash, std::span<const key_hash> accepted);
 
 }  // namespace burdocklock::config
--- a/src/config/sheet_index.h
+++ b/src/config/sheet_index.h
@@ -1,5 +1,5 @@
-// Look-ups on one version of the sheet. Immutable, so that traffic threads
-// share it without locks.
+// Lookup index for one version of the sheet. Immutable, so that traffic threads
+// can share it without locking.
 #pragma once
 
 #include <optional>
@@ -18,7 +18,7 @@
  public:
   explicit sheet_index(sheet sheet);
 
-  /// The customer that owns the API key; nullptr if none does.
+  /// Returns the customer that owns the API key, or nullptr.
   [[nodiscard]] const customer* FindByKey(std::string_view api_key) const;
   [[nodiscard]] const service* FindService(const pool_id& id) const;
   [[nodiscard]] bool HasModel(const pool_id& id) const;
@@ -35,9 +35,9 @@
   };
 
   sheet sheet_;
-  // Keyed by the first bytes of the hash; whole hashes are compared in
+  // Keyed by the first 8 bytes of the hash; full hashes are then compared in
   // constant time.
-  std::unordered_multimap<std::uint64_t, key_entry> keys_;
+  std::unordered_multimap<std::uint64_t, key_entry> customers_by_key_;
   std::unordered_map<pool_id, const service*> services_;
   std::unordered_set<pool_id> models_;
 };
--- a/src/config/tests/config_unittest.cc
+++ b/src/config/tests/config_unittest.cc
@@ -1,4 +1,4 @@
-// Settings and sheet: good files, broken files and round trips.
+// Parsing of settings and sheets: valid files, invalid files and round trips.
 #include <string>
 
 #include <rapidcheck/catch.h>
@@ -20,7 +20,7 @@
       "region = \"klang-valley\"\n"
       "sheet = \"sheet.toml\"\n";
 
-  error Problem(const std::string& added) {
+  error ParseFailure(const std::string& added) {
     const auto parsed = ParseSettings(text + added, "etc/daemon.toml");
     REQUIRE(!parsed.has_value());
     CHECK(parsed.error().peer == "etc/daemon.toml");
@@ -37,20 +37,21 @@
 }
 
 TEST_CASE_METHOD(settings_fixture,
-                 "settings: a problem: names file, line and key") {
-  CHECK(Problem("colour = 1\n").detail == "line 5: colour: unknown key");
-  CHECK(Problem("[limits]\ntraffic_threads = \"two\"\n").detail ==
+                 "settings: invalid: error names file, line and key") {
+  CHECK(ParseFailure("colour = 1\n").detail == "line 5: colour: unknown key");
+  CHECK(ParseFailure("[limits]\ntraffic_threads = \"two\"\n").detail ==
         "line 6: limits.traffic_threads: must be an integer");
-  CHECK(Problem("[limits]\ntraffic_threads = 0\n").detail ==
+  CHECK(ParseFailure("[limits]\ntraffic_threads = 0\n").detail ==
         "line 6: limits.traffic_threads: must be between 1 and 64");
-  CHECK(Problem("[listen]\ncallers = \"nowhere\"\n")
+  CHECK(ParseFailure("[listen]\ncallers = \"nowhere\"\n")
             .detail.starts_with("line 6: listen.callers"));
-  CHECK(Problem("[tokens]\ntargets_sha256 = [\"xyz\"]\n")
+  CHECK(ParseFailure("[tokens]\ntargets_sha256 = [\"xyz\"]\n")
             .detail.starts_with("line 6: tokens.targets_sha256"));
-  CHECK(Problem("[retries]\nbudget_ratio = 1.5\n")
+  CHECK(ParseFailure("[retries]\nbudget_ratio = 1.5\n")
             .detail.starts_with("line 6: retries.budget_ratio"));
-  CHECK(Problem("roles = [\"king\"]\n").detail.starts_with("line 5: roles"));
-  CHECK(Problem("[log\n").code == error_code::kMalformed);
+  CHECK(
+      ParseFailure("roles = [\"king\"]\n").detail.starts_with("line 5: roles"));
+  CHECK(ParseFailure("[log\n").code == error_code::kMalformed);
 }
 
 TEST_CASE("settings: missing file: unreadable") {
@@ -59,7 +60,7 @@
   CHECK(parsed.error().code == error_code::kUnreadable);
 }
 
-TEST_CASE("settings: any bytes: parsed or rejected, never fatal") {
+TEST_CASE("settings: arbitrary bytes: rejected without a crash") {
   rc::prop("no crash", [](const std::string& bytes) {
     const auto parsed = ParseSettings(bytes, "f");
     RC_ASSERT(!parsed.has_value());
@@ -79,37 +80,38 @@
     return "[[customers]]\nid = \"" + id + "\"\nshare = " + share +
            "\nhome_region = \"klang-valley\"\n" + more;
   }
-  std::string Problem(const std::string& added) {
+  std::string ParseFailure(const std::string& added) {
     const auto parsed = ParseSheet(text + added, "sheet.toml");
     REQUIRE(!parsed.has_value());
     return parsed.error().detail;
   }
 };
 
-TEST_CASE_METHOD(sheet_fixture, "sheet: a problem: named with line and key") {
-  CHECK(Problem(Customer("a", "1") + Customer("a", "1")) ==
+TEST_CASE_METHOD(sheet_fixture, "sheet: invalid: error names line and key") {
+  CHECK(ParseFailure(Customer("a", "1") + Customer("a", "1")) ==
         "line 16: customers.id: duplicate \"a\"");
-  CHECK(Problem(Customer("a", "-1")) ==
+  CHECK(ParseFailure(Customer("a", "-1")) ==
         "line 13: customers.share: must be positive");
-  CHECK(Problem(Customer("a", "1", "models = [\"none\"]\n")) ==
+  CHECK(ParseFailure(Customer("a", "1", "models = [\"none\"]\n")) ==
         "line 15: customers.models: \"none\" is not in the sheet");
-  CHECK(Problem(Customer("a", "1", "colour = 1\n")) ==
+  CHECK(ParseFailure(Customer("a", "1", "colour = 1\n")) ==
         "line 15: customers.colour: unknown key");
-  CHECK(Problem("[[models]]\nid = \"spares-desk\"\n")
+  CHECK(ParseFailure("[[models]]\nid = \"spares-desk\"\n")
             .ends_with("duplicate \"spares-desk\""));
-  CHECK(Problem("[[data_centres]]\nid = \"x\"\nregion = \"r\"\n"
-                "[[data_centres.planned_outages]]\n"
-                "from = 2027-01-01T00:00:00Z\nto = 2026-01-01T00:00:00Z\n")
+  CHECK(ParseFailure("[[data_centres]]\nid = \"x\"\nregion = \"r\"\n"
+                     "[[data_centres.planned_outages]]\n"
+                     "from = 2027-01-01T00:00:00Z\nto = 2026-01-01T00:00:00Z\n")
             .ends_with("to: must be later than from"));
-  CHECK(Problem("[[data_centres]]\nid = \"x\"\nregion = \"r\"\n"
-                "[[data_centres.planned_outages]]\n"
-                "from = 2027-01-01T00:00:00\nto = 2027-02-01T00:00:00Z\n")
+  CHECK(ParseFailure("[[data_centres]]\nid = \"x\"\nregion = \"r\"\n"
+                     "[[data_centres.planned_outages]]\n"
+                     "from = 2027-01-01T00:00:00\nto = 2027-02-01T00:00:00Z\n")
             .ends_with("from: must carry an offset from UTC"));
 }
 
-TEST_CASE_METHOD(sheet_fixture, "sheet: key of two customers: rejected") {
+TEST_CASE_METHOD(sheet_fixture,
+                 "sheet: key shared by two customers: rejected") {
   const std::string key = "api_keys_sha256 = [\"" + kHash + "\"]\n";
-  CHECK(Problem(Customer("a", "1", key) + Customer("b", "1", key))
+  CHECK(ParseFailure(Customer("a", "1", key) + Customer("b", "1", key))
             .ends_with("key is used twice"));
 }
 
@@ -124,7 +126,7 @@
         std::chrono::sys_days(std::chrono::year(2027) / 1 / 1));
 }
 
-TEST_CASE("sheet: written and read back: equal") {
+TEST_CASE("sheet: formatted and parsed again: equal") {
   rc::prop("round trip", [] {
     sheet original;
     original.data_centres.push_back(
@@ -175,7 +177,7 @@
                                     pool_id("spares-desk")));
 }
 
-TEST_CASE("service rules: method and path: decide what may be repeated") {
+TEST_CASE("service rules: method and path: decide what may be retried") {
   const service service{
       .id = pool_id("s"),
       .non_repeatable = {{.methods = {"GET"}, .path_prefix = "/orders"}},
--- a/src/config/types/settings.h
+++ b/src/config/types/settings.h
@@ -1,4 +1,4 @@
-// The settings of one daemon.
+// Settings of a single daemon.
 #pragma once
 
 #include <chrono>
@@ -15,13 +15,13 @@
 
 enum class role { kRouter, kControl };
 
-/// How callers and targets speak to routers.
+/// Protocol that callers and targets use with routers.
 enum class caller_interface {
-  /// OpenAI-style calls and plain services of the sheet.
+  /// OpenAI-compatible API, and the plain HTTP services in the sheet.
   kOpenai,
-  /// Routes of the configuration that the control hosts keep.
+  /// Routes from the configuration stored by the control hosts.
   kRoutes,
-  /// Routes, in the form of the operators' platform.
+  /// Routes, in the format of the operators' platform.
   kPlatform,
 };
 
@@ -30,7 +30,7 @@
 }
 
 struct log_settings {
-  /// Standard error if empty, standard output if "stdout".
+  /// Empty for standard error, "stdout" for standard output.
   std::string path;
   log_level level = log_level::kInfo;
   friend bool operator==(const log_settings&, const log_settings&) = default;
@@ -38,14 +38,14 @@
 
 struct limit_settings {
   std::uint32_t traffic_threads = 1;
-  /// Callers are served on the control thread instead, for hosts with less
-  /// than a core.
+  /// Serves callers on the control thread instead of on traffic threads, for
+  /// hosts with less than one CPU core.
   bool share_control_thread = false;
   std::uint32_t max_connections = 4096;
   std::uint32_t max_header_bytes = 16 * 1024;
   std::uint32_t max_body_bytes = 4 * 1024 * 1024;
   std::uint32_t max_answer_bytes = 64 * 1024 * 1024;
-  /// Requests of one customer that may wait at this daemon.
+  /// Maximum queued requests per customer at this daemon.
   std::uint32_t max_queued_per_customer = 64;
   std::uint32_t max_queued_total = 4096;
   friend bool operator==(const limit_settings&,
@@ -55,31 +55,31 @@
 struct timeout_settings {
   /// Idle keep-alive connections of callers are closed after this time.
   std::chrono::milliseconds caller_idle{60'000};
-  /// A caller must send a whole request in this time.
+  /// Time limit for receiving a complete request.
   std::chrono::milliseconds caller_read{15'000};
-  /// A caller must take each piece of an answer in this time.
+  /// Time limit for writing each part of a response to the caller.
   std::chrono::milliseconds caller_write{30'000};
-  /// Longest wait in the queue.
+  /// Maximum time in the queue.
   std::chrono::milliseconds queue{30'000};
   std::chrono::milliseconds connect{1'000};
   std::chrono::milliseconds first_token{10'000};
   std::chrono::milliseconds between_tokens{5'000};
-  /// Answers of engines that are not streamed.
+  /// Time limit for non-streamed responses of model engines.
   std::chrono::milliseconds whole_answer{120'000};
-  /// First byte of the answer of a plain service.
+  /// Time limit for the first response byte of a plain service.
   std::chrono::milliseconds service_answer{30'000};
-  /// From arrival to the end of the answer.
+  /// Time limit from receipt of the request to the end of the response.
   std::chrono::milliseconds total{600'000};
-  /// A target that did not announce itself for this time gets no new work.
+  /// A target that has not announced itself for this time gets no new requests.
   std::chrono::milliseconds target_silence{6'000};
-  /// Idle target connections older than this are closed and never reused.
+  /// Connections to targets that have been idle longer are closed, not reused.
   std::chrono::milliseconds target_idle{15'000};
-  /// After SIGTERM the daemon refuses readiness this long before it stops to
-  /// accept connections.
+  /// Time after SIGTERM during which the daemon reports that it is not ready
+  /// but still accepts connections.
   std::chrono::milliseconds drain_notice{0};
-  /// After SIGTERM, streams still running after this time are cut.
+  /// Streams that still run this long after SIGTERM are terminated.
   std::chrono::milliseconds drain_deadline{120'000};
-  /// If not 0, the whole shutdown must end in this time.
+  /// Time limit for the complete shutdown; 0 for none.
   std::chrono::milliseconds shutdown{0};
   friend bool operator==(const timeout_settings&,
                          const timeout_settings&) = default;
@@ -87,27 +87,27 @@
 
 struct retry_settings {
   std::uint32_t max_attempts = 3;
-  /// Retries allowed per request of the recent past.
+  /// Retries allowed per recent request.
   double budget_ratio = 0.1;
-  /// Retries allowed at any time on top of the ratio, per second.
+  /// Retries per second that are always allowed in addition to the ratio.
   double budget_per_second = 2.0;
-  /// Retries that all routers together may save up, for each service; 0 leaves
-  /// it to each router.
+  /// Maximum accumulated retries per service, shared by all routers; 0 if each
+  /// router has its own budget.
   double fleet_budget = 0;
   friend bool operator==(const retry_settings&,
                          const retry_settings&) = default;
 };
 
-/// How daemons find the control hosts that keep the operators' state.
+/// How daemons find the control hosts that store the operators' state.
 struct control_settings {
-  /// Addresses to begin with.
+  /// Initial addresses of control hosts.
   std::vector<endpoint> hosts;
-  /// If not 0, links are opened to this port of `hosts`.
+  /// Port to which links to `hosts` are opened; 0 to use their own ports.
   std::uint16_t link_port = 0;
-  /// Only when the whole fleet starts for the first time: `hosts` are then the
-  /// first voters.
+  /// Set only for the first start of the whole fleet; `hosts` then become the
+  /// initial voters.
   bool first_start = false;
-  /// Control hosts that may lose their disks at the same time.
+  /// Number of control hosts that may lose their disks at the same time.
   std::uint32_t tolerated_disk_losses = 1;
   /// Data centres that may be taken out of service.
   std::vector<data_centre_id> data_centres;
@@ -122,19 +122,21 @@
   std::vector<role> roles = {role::kRouter};
   endpoint callers{.port = 8080};
   endpoint operators{.port = 8081};
-  /// Without peers and with port 0 no links to other daemons are kept.
+  /// If the port is 0 and there are no peers, no links to other daemons are
+  /// maintained.
   endpoint peer_listener;
-  /// Peers to start from.
+  /// Initial peer addresses.
   std::vector<endpoint> peers;
   caller_interface interface = caller_interface::kOpenai;
-  /// Where readiness is asked for; port 0 if only on the other listeners.
+  /// Separate listener for readiness checks; port 0 to serve them only on the
+  /// other listeners.
   endpoint readiness;
-  /// Of a control host: where operators and targets call.
+  /// On control hosts, the listener for operators and targets.
   endpoint commands;
   control_settings control;
   std::string data_folder;
   std::string sheet_path;
-  /// Hashes of tokens that targets announce themselves with.
+  /// Hashes of the tokens accepted from targets.
   std::vector<key_hash> target_tokens;
   std::vector<key_hash> operator_tokens;
   log_settings log;
--- a/src/config/types/sheet.h
+++ b/src/config/types/sheet.h
@@ -1,5 +1,5 @@
-// The sheet: what operators decide about customers, models, services and data
-// centres. The same for all daemons.
+// The sheet: the operators' configuration of customers, models, services and
+// data centres, identical for all daemons.
 #pragma once
 
 #include <array>
@@ -20,15 +20,16 @@
 
 struct customer {
   customer_id id;
-  /// Weight in the division of contended capacity; positive.
+  /// Weight for sharing contended capacity between customers; positive.
   double share = 1.0;
-  /// More than one while keys are being changed.
+  /// Holds more than one key during key rotation.
   std::vector<key_hash> api_keys;
   /// Pools (models and services) that the customer may use.
   std::vector<pool_id> models;
   std::vector<pool_id> services;
   region_id home_region;
-  /// Requests that may wait at one daemon; the daemon's limit if absent.
+  /// Maximum queued requests per daemon; the daemon's own limit applies if
+  /// absent.
   std::optional<std::uint32_t> max_queued;
 
   friend bool operator==(const customer&, const customer&) = default;
@@ -39,19 +40,19 @@
   friend bool operator==(const model&, const model&) = default;
 };
 
-/// Calls: any of `methods` on `path_prefix`.
+/// Matches calls with one of `methods` under `path_prefix`.
 struct call_rule {
   std::vector<std::string> methods;
-  /// Path below the service, such as "/orders".
+  /// Path relative to the service, such as "/orders".
   std::string path_prefix;
   friend bool operator==(const call_rule&, const call_rule&) = default;
 };
 
 struct service {
   pool_id id;
-  /// Calls that must not be repeated, whatever their method.
+  /// Calls that must not be retried, regardless of their method.
   std::vector<call_rule> non_repeatable;
-  /// Calls that may be repeated although their method is not idempotent.
+  /// Calls that may be retried although their method is not idempotent.
   std::vector<call_rule> repeatable;
   friend bool operator==(const service&, const service&) = default;
 };
@@ -70,8 +71,8 @@
   friend bool operator==(const data_centre&, const data_centre&) = default;
 };
 
-/// Invariants, checked when it is read: ids are unique, shares are positive,
-/// and every model, service and region named by a customer exists.
+/// Invariants, validated by the parser: ids are unique, shares are positive,
+/// and every model, service and region that a customer refers to exists.
 struct sheet {
   std::vector<customer> customers;
   std::vector<model> models;
@@ -80,9 +81,10 @@
   friend bool operator==(const sheet&, const sheet&) = default;
 };
 
-/// True if `method` on `path` may run at most once. A matching
-/// `non_repeatable` rule decides first, then a `repeatable` one; otherwise the
-/// methods that HTTP defines as idempotent (RFC 9110, 9.2.2) are repeatable.
+/// Returns whether a call of `method` on `path` may run at most once.
+/// `non_repeatable` rules take precedence over `repeatable` ones; without a
+/// matching rule, the methods that HTTP defines as idempotent (RFC 9110, 9.2.2)
+/// are repeatable.
 bool IsNonRepeatable(const service& service,
                      std::string_view method,
                      std::string_view path);
