--- a/src/gateway/call_parser.h
+++ b/src/gateway/call_parser.h
@@ -1,4 +1,4 @@
-// Turns callers' HTTP requests into calls, or into the reason why not.
+// Parses callers' HTTP requests into routable calls or rejections.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace burdocklock::gateway {
 
-/// The parts of an HTTP request that decide where it goes.
+/// The parts of an HTTP request that determine its routing.
 struct call_input {
   std::string_view method;
   /// Path and query as received.
@@ -22,7 +22,7 @@
   std::string_view body;
 };
 
-/// A call that may be routed; `id` of the specification is not set.
+/// A valid call; `spec.id` is not set yet.
 struct parsed_call {
   routing::request_spec spec;
   /// Path and query to request from the target.
@@ -37,15 +37,15 @@
 
 using call_result = std::variant<parsed_call, rejected_call>;
 
-/// Authenticates the caller and checks what it asks for.
+/// Authenticates the caller and validates the request.
 call_result ParseCall(const call_input& input,
                       const config::sheet_index& sheet);
 
-/// The secret of a bearer token header; empty if there is none.
+/// The token of a bearer `Authorization` header; empty if there is none.
 std::string_view BearerToken(std::string_view authorization);
 
-/// True for paths that have one spelling only, so that rules on paths cannot
-/// be evaded by another spelling of the same path.
+/// True if the path is in canonical form. Other forms are rejected so that
+/// path rules cannot be bypassed with an equivalent spelling.
 bool IsCanonicalPath(std::string_view path);
 
 }  // namespace burdocklock::gateway
--- a/src/gateway/caller_handler.h
+++ b/src/gateway/caller_handler.h
@@ -1,4 +1,4 @@
-// HTTP interface of callers and targets.
+// HTTP interface for callers, and for announcements from targets.
 #pragma once
 
 #include <string>
--- a/src/gateway/forwarded_fields.h
+++ b/src/gateway/forwarded_fields.h
@@ -1,12 +1,12 @@
-// Fields of a request that are passed on to targets.
+// Header fields that are forwarded to targets.
 #pragma once
 
 #include "framework/net/http_types.h"
 
 namespace burdocklock::gateway {
 
-/// Copies the fields that concern the whole way to the target: not those of one
-/// connection (RFC 9110, 7.6.1), nor the caller's secrets, nor the length.
+/// Copies the end-to-end header fields. Leaves out hop-by-hop fields (RFC 9110,
+/// 7.6.1), the caller's credentials, `Host`, `Expect` and `Content-Length`.
 void CopyForwardedFields(const net::http_request& received,
                          net::http_request& request);
 
--- a/src/gateway/i_call_dialect.h
+++ b/src/gateway/i_call_dialect.h
@@ -1,4 +1,4 @@
-// Port: how callers of routes and the targets behind them are spoken to.
+// Interface: protocol between callers of routes and the targets behind them.
 #pragma once
 
 #include <chrono>
@@ -14,20 +14,20 @@
 
 namespace burdocklock::gateway {
 
-/// What a request says about itself.
+/// Properties of a call, read from its request.
 struct call_facts {
-  /// The caller's own name of this request; empty if it gave none.
+  /// Request ID chosen by the caller; empty if it gave none.
   std::string name;
   std::string host_name;
   /// Empty if there is none.
   std::string api_key;
-  /// How long the caller waits.
+  /// Time limit set by the caller.
   std::optional<std::chrono::milliseconds> patience;
-  /// Of a generation.
+  /// Set for generation requests.
   std::optional<targets::prompt> prompt;
 };
 
-/// What a request is known by on its way.
+/// Identifies a request towards targets.
 struct call_identity {
   std::string name;
   /// Empty if the call needs no key.
@@ -39,7 +39,7 @@
   /// Fails if a field cannot be read.
   [[nodiscard]] virtual result<call_facts> ReadCall(
       const net::http_request& request) const = 0;
-  /// The request as targets get it, but for what `Prepare` adds.
+  /// The request to send to targets, without the fields that `Prepare` sets.
   [[nodiscard]] virtual net::http_request BuildTargetRequest(
       const net::http_request& received,
       const call_identity& identity) const = 0;
--- a/src/gateway/i_control.h
+++ b/src/gateway/i_control.h
@@ -1,4 +1,4 @@
-// Port from the traffic threads to the control thread, and back.
+// Interface between the traffic threads and the control thread.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
 
 namespace burdocklock::gateway {
 
-/// What the control thread may ask of a request's traffic side.
+/// Commands from the control thread to the traffic side of a request.
 using exchange_order = std::variant<routing::start_attempt,
                                     routing::cancel_attempt,
                                     routing::refuse_request,
@@ -34,7 +34,7 @@
  public:
   virtual ~i_exchange() = default;
 
-  /// Hands over an order; callable from any thread.
+  /// Queues an order; callable from any thread.
   virtual void Deliver(exchange_order order) = 0;
 };
 
@@ -44,7 +44,7 @@
   std::uint32_t tokens = 0;
 };
 
-/// Output of all streams of one traffic thread over one reporting period.
+/// Output of all streams of one traffic thread in one reporting period.
 struct progress_batch {
   std::vector<progress_entry> entries;
   /// A sample of the times between tokens.
@@ -57,23 +57,23 @@
   virtual ~i_control() = default;
 
   virtual request_seq NextRequest() = 0;
-  /// Name of a request, unique over all daemons and their restarts.
+  /// Request ID, unique across all daemons and their restarts.
   [[nodiscard]] virtual std::string RequestName(request_seq request) const = 0;
-  /// Name of a refusal, unique over all daemons and their restarts.
+  /// Refusal ID, unique across all daemons and their restarts.
   [[nodiscard]] virtual std::string RefusalName(refusal_seq refusal) const = 0;
   [[nodiscard]] virtual std::shared_ptr<const config::sheet_index> Sheet()
       const = 0;
-  /// The routes in force; nullptr until they are known.
+  /// The current routes; nullptr until a configuration has been received.
   [[nodiscard]] virtual std::shared_ptr<const routes::route_index> Routes()
       const = 0;
   [[nodiscard]] virtual bool IsDraining() const = 0;
-  /// Set once the daemon shuts down.
+  /// Set once the daemon is shutting down.
   [[nodiscard]] virtual std::optional<drain_window> DrainWindow() const = 0;
 
   virtual void Submit(const routing::request_spec& spec,
                       std::shared_ptr<i_exchange> exchange) = 0;
-  /// Numbers and records a refusal decided on the traffic side, then orders
-  /// the exchange to deliver it.
+  /// Assigns an ID to a refusal decided on the traffic side, records it, and
+  /// orders the exchange to send it.
   virtual void RefuseEarly(refusals::refusal refusal,
                            std::shared_ptr<i_exchange> exchange) = 0;
   virtual void ReportAttempt(request_seq request,
--- a/src/gateway/i_stream_scanner.h
+++ b/src/gateway/i_stream_scanner.h
@@ -1,4 +1,4 @@
-// Port: checks a stream of events before it is passed on.
+// Interface: validates a stream of events before it is forwarded.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +12,32 @@
 
 enum class stream_state {
   kOpen,
-  /// The closing event has been seen; what follows is discarded.
+  /// The closing event has been received; later data is discarded.
   kDone,
-  /// An event named another request, or could not be attributed to one.
+  /// An event belongs to another request, or to none that can be identified.
   kWrongAnswer,
-  /// The engine reported a failure within the stream.
+  /// The engine reported an error within the stream.
   kTargetError,
 };
 
-/// Releases bytes only as whole, approved events.
+/// Releases bytes only in complete, validated events.
 class i_stream_scanner {
  public:
   virtual ~i_stream_scanner() = default;
 
-  /// Adds received bytes and returns those that may be passed on; the view is
+  /// Adds received bytes and returns those that may be forwarded; the view is
   /// valid until the next call.
   virtual std::string_view Feed(std::string_view bytes) = 0;
-  /// The body has ended properly. True if the stream is whole.
+  /// Called when the body has ended without a connection error. True if the
+  /// stream is complete.
   [[nodiscard]] virtual bool IsWholeAtEnd() const = 0;
 
   [[nodiscard]] virtual stream_state state() const = 0;
-  /// Events with output that were approved in the last call.
+  /// Number of events with output released by the last call to `Feed`.
   [[nodiscard]] virtual std::uint32_t new_tokens() const = 0;
   [[nodiscard]] virtual const std::optional<routing::usage>& reported_usage()
       const = 0;
-  /// Id of the last event that was released; empty if events have none.
+  /// ID of the last released event; empty if events have no IDs.
   [[nodiscard]] virtual std::string last_event_id() const = 0;
 };
 
--- a/src/gateway/i_target_dialect.h
+++ b/src/gateway/i_target_dialect.h
@@ -1,4 +1,4 @@
-// Port: how targets are spoken to, and what their answers mean.
+// Interface: protocol spoken with targets.
 #pragma once
 
 #include <memory>
@@ -16,44 +16,45 @@
 
 namespace burdocklock::gateway {
 
-/// What is sent to the target.
+/// A call to be sent to a target.
 struct outgoing_call {
   routing::request_spec spec;
   std::string request_name;
   net::http_request request;
-  /// When the caller ceases to wait.
+  /// When the caller stops waiting.
   std::optional<time_point> deadline;
 };
 
-/// What one attempt adds to the call.
+/// Parameters of one attempt.
 struct attempt_terms {
   target_id target;
-  /// What is left of the caller's time.
+  /// Remaining time until the caller's deadline.
   std::optional<duration> time_left;
-  /// Id of the last event that the caller has; set if the stream is resumed.
+  /// ID of the last event that the caller received; set when resuming.
   std::optional<std::string> resume_after;
   /// Another target, from which this one can copy part of the prompt.
   std::optional<endpoint> copy_from;
 };
 
 enum class head_verdict {
-  /// The answer to this request, to be passed on.
+  /// The response to this request; forwarded to the caller.
   kAnswer,
-  /// The answer to this request is a failure of the target, to be passed on
-  /// only if no other target can do better.
+  /// An error response to this request; forwarded to the caller only if no
+  /// other target can serve the request.
   kFailure,
-  /// A failure that callers are not to see.
+  /// An error response that is never forwarded to callers.
   kHiddenFailure,
   /// The target did not admit the request.
   kNotAdmitted,
-  /// Another target answers at this address; it did not admit the request.
+  /// Another target runs at this address; it did not admit the request.
   kOtherTarget,
-  /// The answer to some earlier request; the right one may follow.
+  /// The response to an earlier request on the same connection; the response
+  /// to this request may follow.
   kOtherRequest,
   kMalformed,
 };
 
-/// What a whole answer of an engine says about itself.
+/// Metadata read from the body of a non-streamed response.
 struct answer_summary {
   bool names_request = false;
   std::optional<routing::usage> reported_usage;
@@ -63,7 +64,7 @@
  public:
   virtual ~i_target_dialect() = default;
 
-  /// Sets the fields that differ between attempts.
+  /// Sets the header fields that differ between attempts.
   virtual void Prepare(const attempt_terms& terms,
                        net::http_request& request) const = 0;
   [[nodiscard]] virtual head_verdict Judge(const net::http_response_head& head,
@@ -71,16 +72,16 @@
   [[nodiscard]] virtual std::unique_ptr<i_stream_scanner> MakeScanner(
       const outgoing_call& call,
       const std::optional<std::string>& resume_after) const = 0;
-  /// Judges the body of a whole answer.
+  /// Reads the metadata of a non-streamed response.
   [[nodiscard]] virtual answer_summary Summarise(
       const outgoing_call& call,
       unsigned status,
       std::string_view body) const = 0;
-  /// The field that names the request in answers to callers.
+  /// Header field that carries the request ID in responses to callers.
   [[nodiscard]] virtual std::string_view name_field() const = 0;
-  /// True if a stream that breaks off ends with an event that says so.
+  /// True if a truncated stream ends with an error event.
   [[nodiscard]] virtual bool announces_cuts() const = 0;
-  /// True if callers understand fractions of a second in Retry-After.
+  /// True if callers accept fractional seconds in Retry-After.
   [[nodiscard]] virtual bool fractional_retry_after() const = 0;
 };
 
--- a/src/gateway/internal/answer_writer.cc
+++ b/src/gateway/internal/answer_writer.cc
@@ -22,8 +22,7 @@
 namespace http = net::http;
 
 constexpr unsigned kHttp11 = 11;
-// Fields that concern one connection only (RFC 9110, 7.6.1), or that are
-// written anew.
+// Excludes hop-by-hop fields (RFC 9110, 7.6.1) and those that are set anew.
 bool IsForwarded(http::field field) {
   switch (field) {
     case http::field::connection:
@@ -101,7 +100,7 @@
   if (version_ >= kHttp11) {
     response.chunked(true);
   } else {
-    // The end of the connection marks the end of the answer.
+    // HTTP/1.0 has no chunked encoding: closing the connection ends the body.
     keep_alive_ = false;
   }
   response.keep_alive(keep_alive_);
@@ -148,7 +147,7 @@
     text.insert(0, 3 - text.size(), '0');
     return std::to_string(wait.count() / kMillisecondsPerSecond) + "." + text;
   }
-  // Rounded up, as an early return would be in vain.
+  // Rounded up, as an earlier retry would be refused again.
   return std::to_string((wait.count() + kMillisecondsPerSecond - 1) /
                         kMillisecondsPerSecond);
 }
--- a/src/gateway/internal/answer_writer.h
+++ b/src/gateway/internal/answer_writer.h
@@ -1,4 +1,4 @@
-// Writes the one answer of a request to its caller.
+// Writes the response to a request to its caller.
 #pragma once
 
 #include <chrono>
@@ -13,8 +13,8 @@
 
 namespace burdocklock::gateway {
 
-/// Invariant: at most one of a whole answer, a stream and a problem document
-/// is begun. After a failed write or a cut the connection must be closed.
+/// Invariant: at most one response, stream or problem document is started.
+/// After a failed write or a truncation the connection must be closed.
 class answer_writer {
  public:
   answer_writer(net::http_connection& connection,
@@ -24,22 +24,22 @@
                 const i_target_dialect& dialect);
 
   bool WriteWhole(const net::http_response_head& head, std::string body);
-  /// Begins a stream with the target's status and fields.
+  /// Starts a stream with the target's header fields.
   bool BeginStream(const net::http_response_head& head);
   bool WriteEvents(std::string_view events);
   bool EndStream();
   bool WriteProblem(const refusals::refusal& refusal,
                     const std::string& refusal_name);
-  /// Breaks a stream off so that it cannot be taken for whole: with an error
-  /// event if the dialect has one, and without its end.
+  /// Truncates a stream so that the caller can tell that it is incomplete:
+  /// sends an error event if the dialect has one, and omits the last chunk.
   bool WriteCut(const refusals::refusal& refusal,
                 const std::string& refusal_name);
 
-  /// Some byte was passed on to the caller.
+  /// True once writing to the caller has started.
   [[nodiscard]] bool started() const { return started_; }
   [[nodiscard]] bool failed() const { return failed_; }
   [[nodiscard]] net::keep_alive keep_alive() const;
-  /// Id of the last event passed on, where events have ids.
+  /// ID of the last forwarded event, if events have IDs.
   [[nodiscard]] const std::string& last_event_id() const {
     return last_event_id_;
   }
--- a/src/gateway/internal/attempt_runner.cc
+++ b/src/gateway/internal/attempt_runner.cc
@@ -15,10 +15,10 @@
 namespace {
 
 constexpr unsigned kOk = 200;
-// Time for a target to end its stream properly after the closing event.
+// How long to wait for the end of the body after the closing event.
 constexpr std::chrono::seconds kStreamTailTimeout{1};
 constexpr std::size_t kReadBytes = 32 * 1024;
-// Answers to earlier requests that may precede the right one.
+// How many responses to earlier requests are skipped on a reused connection.
 constexpr int kMaxOtherAnswers = 2;
 
 bool IsEventStream(const net::http_response_head& head) {
@@ -41,7 +41,8 @@
   if (auto failure = Send()) {
     return *failure;
   }
-  // Ends, and so reports its rest, before the attempt's own end is reported.
+  // Destroyed, which reports its remaining tokens, before the caller of `Run`
+  // reports the end of the attempt.
   attempt_progress_meter meter(context_.progress, order_.request,
                                order_.attempt);
   meter_ = &meter;
@@ -143,7 +144,7 @@
       return Fail(failure_kind::kWrongAnswer, "read head",
                   status + " does not answer this request");
   }
-  // What was passed on already can only be continued by a stream.
+  // A partly forwarded stream can only be continued by another stream.
   if (order_.resumes && !IsEventStream(head)) {
     return Fail(failure_kind::kTargetError, "resume stream", status);
   }
--- a/src/gateway/internal/attempt_runner.h
+++ b/src/gateway/internal/attempt_runner.h
@@ -18,7 +18,7 @@
 
 namespace burdocklock::gateway {
 
-/// What the exchanges of one traffic thread share.
+/// State shared by the exchanges of one traffic thread.
 struct traffic_context {
   boost::asio::io_context& io;
   i_control& control;
@@ -28,14 +28,16 @@
   std::uint32_t max_answer_bytes = 0;
 };
 
-/// A target's failure, kept in case no other target does better.
+/// A target's error response, forwarded if no other target can serve the
+/// request.
 struct kept_answer {
   net::http_response_head head;
   std::string body;
 };
 
-/// Invariants: no byte reaches the caller before the answer has named this
-/// request; the connection is kept for reuse only after a whole answer.
+/// Invariants: no byte is sent to the caller before the response has been
+/// matched to this request; the connection is reused only after a complete
+/// response.
 class attempt_runner {
  public:
   attempt_runner(traffic_context& context,
@@ -43,11 +45,11 @@
                  const routing::start_attempt& order,
                  answer_writer& writer);
 
-  /// Runs to the end and returns `attempt_completed` or `attempt_failed`.
+  /// Runs the attempt and returns `attempt_completed` or `attempt_failed`.
   routing::attempt_event Run();
-  /// The failure that `Run` has returned as `has_answer`.
+  /// The error response, if `Run` returned a failure with `has_answer` set.
   [[nodiscard]] kept_answer TakeAnswer() { return std::move(kept_); }
-  /// Makes `Run` return soon; callable from handlers of the same thread.
+  /// Cancels `Run` by closing the connection; call only from the same thread.
   void Cancel();
 
  private:
@@ -57,7 +59,7 @@
   std::optional<routing::attempt_failed> CheckHead(
       head_verdict verdict,
       const net::http_response_head& head) const;
-  /// Reads the rest of an answer; nullopt if `body` holds all of it.
+  /// Reads the rest of a response into `body`; nullopt on success.
   std::optional<routing::attempt_failed> ReadBody(std::string& body);
   routing::attempt_event ReceiveWhole(const net::http_response_head& head);
   routing::attempt_event KeepFailure(const net::http_response_head& head);
--- a/src/gateway/internal/call_service.cc
+++ b/src/gateway/internal/call_service.cc
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Time in which a daemon that restarts is usually back.
+// Retry-After during shutdown: the usual duration of a daemon restart.
 constexpr std::chrono::seconds kRestartWait{1};
 
 }  // namespace
--- a/src/gateway/internal/call_service.h
+++ b/src/gateway/internal/call_service.h
@@ -14,18 +14,19 @@
  public:
   explicit call_service(traffic_context& context) : context_(context) {}
 
-  /// Serves the call on the connection's fiber, until the caller has its answer
-  /// or is gone. Refuses it if the daemon shuts down before the call could end.
+  /// Serves the call on the connection's fiber until the response is written or
+  /// the caller disconnects. Refuses it if the daemon is shutting down and the
+  /// call might not end in time.
   net::keep_alive Serve(net::http_connection& connection,
                         const net::http_request& request,
                         outgoing_call call);
-  /// Numbers and records a refusal, then delivers it. `name` names the request
-  /// to the caller.
+  /// Assigns an ID to a refusal, records it and sends it. `name` is the request
+  /// ID shown to the caller.
   net::keep_alive Refuse(net::http_connection& connection,
                          const net::http_request& request,
                          const std::string& name,
                          refusals::refusal refusal);
-  /// Refuses a request that could not be read.
+  /// Refuses a request that could not be parsed.
   void RefuseUnread(net::http_connection& connection, error_code code);
 
  private:
--- a/src/gateway/internal/caller_exchange.cc
+++ b/src/gateway/internal/caller_exchange.cc
@@ -40,7 +40,7 @@
     inbox_.pop_front();
     std::visit([this](const auto& value) { Execute(value); }, order);
   }
-  // Orders that crossed with the end must still be answered.
+  // Orders that arrived while the exchange was ending still need a report.
   for (const exchange_order& order : std::exchange(inbox_, {})) {
     if (const auto* start = std::get_if<routing::start_attempt>(&order)) {
       AnswerUnstarted(*start, failure_kind::kCallerLost);
@@ -155,7 +155,7 @@
   const auto received = ::recv(connection_.stream.socket().native_handle(),
                                &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (received > 0) {
-    // The caller has sent its next request already, so it is still there.
+    // A pipelined request: the caller is still connected.
     return;
   }
   if (received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
--- a/src/gateway/internal/caller_exchange.h
+++ b/src/gateway/internal/caller_exchange.h
@@ -15,8 +15,7 @@
 
 namespace burdocklock::gateway {
 
-/// `Run` and everything but `Deliver` happen on the thread of the caller's
-/// connection.
+/// All members except `Deliver` run on the thread of the caller's connection.
 class caller_exchange : public i_exchange,
                         public std::enable_shared_from_this<caller_exchange> {
  public:
@@ -25,10 +24,10 @@
                   outgoing_call call,
                   answer_writer& writer);
 
-  /// Submits the call and blocks the fiber until the caller has its answer or
-  /// is gone.
+  /// Submits the call and blocks the fiber until the response is written or the
+  /// caller disconnects.
   void Run();
-  /// Has a refusal numbered and delivers it.
+  /// Sends a refusal after the control thread has assigned its ID.
   void RunRefused(refusals::refusal refusal);
 
   void Deliver(exchange_order order) override;
@@ -48,13 +47,14 @@
   void OnCallerLost();
 
   traffic_context& context_;
-  // Valid, like `writer_`, only while `Run` is on the stack.
+  // Valid, like `writer_`, only while `Run` or `RunRefused` executes.
   net::http_connection& connection_;
   outgoing_call call_;
   answer_writer& writer_;
-  /// Kept here because the writer may be gone when late orders arrive.
+  /// Copy of `writer_.started()`: the writer may be destroyed when late orders
+  /// arrive.
   bool delivered_ = false;
-  /// The last failure of a target that could be passed on.
+  /// The last error response of a target that could be forwarded.
   kept_answer kept_;
   std::deque<exchange_order> inbox_;
   fiber_event inbox_changed_;
--- a/src/gateway/internal/event_text.h
+++ b/src/gateway/internal/event_text.h
@@ -5,8 +5,8 @@
 
 namespace burdocklock::gateway {
 
-/// End of the first event in `text`, past its blank line; npos if incomplete.
-/// The search begins at `from`.
+/// Offset just past the blank line that ends the first event in `text`; npos if
+/// the event is incomplete. The search starts at `from`.
 std::size_t EventEnd(std::string_view text, std::size_t from);
 
 }  // namespace burdocklock::gateway
--- a/src/gateway/internal/numbered_event_scanner.cc
+++ b/src/gateway/internal/numbered_event_scanner.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kIdField = "id:";
 
-// The number of the event's id line; nullopt if there is none.
+// Sequence number from the event's `id` line; nullopt if there is none.
 std::optional<std::uint64_t> EventNumber(std::string_view event) {
   while (!event.empty()) {
     const std::size_t end = event.find('\n');
@@ -47,7 +47,7 @@
   pending_.erase(0, released_);
   released_ = 0;
   new_events_ = 0;
-  // An event's end may straddle the old and the new bytes.
+  // The end of an event may span the old and the new bytes.
   std::size_t search_from = pending_.size() < 2 ? 0 : pending_.size() - 2;
   pending_.append(bytes);
   while (state_ == stream_state::kOpen) {
--- a/src/gateway/internal/openai_dialect.cc
+++ b/src/gateway/internal/openai_dialect.cc
@@ -28,7 +28,7 @@
   if (boost::beast::iequals(head.fields[kAdmittedField], "no")) {
     return head_verdict::kNotAdmitted;
   }
-  // A plain service's own failure is its answer.
+  // Errors of plain services are forwarded to the caller unchanged.
   return head.status >= kFirstServerError &&
                  call.spec.kind != call_kind::kServiceCall
              ? head_verdict::kHiddenFailure
--- a/src/gateway/internal/problem_document.h
+++ b/src/gateway/internal/problem_document.h
@@ -9,11 +9,11 @@
 
 struct problem_names {
   std::string refusal;
-  /// Empty if the request could not be read.
+  /// Empty if the request could not be parsed.
   std::string request;
 };
 
-/// The refusal as a JSON problem document.
+/// Formats the refusal as a JSON problem document.
 std::string FormatProblem(const refusals::refusal& refusal,
                           const problem_names& names);
 
--- a/src/gateway/internal/prompt_fields.cc
+++ b/src/gateway/internal/prompt_fields.cc
@@ -10,7 +10,7 @@
 constexpr int kDecimal = 10;
 constexpr int kHexadecimal = 16;
 
-// Takes the next entry off a comma-separated list.
+// Removes and returns the first entry of a comma-separated list.
 std::string_view TakeEntry(std::string_view& list) {
   const std::size_t comma = list.find(',');
   const std::string_view entry = list.substr(0, comma);
--- a/src/gateway/internal/routed_handler.cc
+++ b/src/gateway/internal/routed_handler.cc
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Time in which a daemon that has just started usually learns its routes.
+// Retry-After before the first configuration arrives: the usual time for a
+// daemon that has just started to receive its routes.
 constexpr std::chrono::milliseconds kConfigurationWait{500};
 
 }  // namespace
--- a/src/gateway/internal/sse_scanner.cc
+++ b/src/gateway/internal/sse_scanner.cc
@@ -26,7 +26,7 @@
   return text;
 }
 
-// Joins the data lines of an event; without a copy if there is only one.
+// Joins the data lines of an event; does not copy if there is only one.
 std::string_view EventData(std::string_view event, std::string& storage) {
   std::string_view data;
   std::size_t lines = 0;
@@ -110,7 +110,7 @@
   if (state_ != stream_state::kOpen) {
     return {};
   }
-  // An event's end may straddle the old and the new bytes.
+  // The end of an event may span the old and the new bytes.
   std::size_t search_from = pending_.size() < 2 ? 0 : pending_.size() - 2;
   pending_.append(bytes);
   while (state_ == stream_state::kOpen) {
--- a/src/gateway/internal/target_links.cc
+++ b/src/gateway/internal/target_links.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-// An idle connection is given up this long before its peer closes it, so that
-// a request does not cross with the close.
+// An idle connection is closed this long before the target would close it, so
+// that a request is not sent while the target closes the connection.
 constexpr std::chrono::milliseconds kIdleMargin{800};
 
 }  // namespace
--- a/src/gateway/internal/traffic_service.cc
+++ b/src/gateway/internal/traffic_service.cc
@@ -18,7 +18,7 @@
           .read_timeout = options.caller_read};
 }
 
-// The limits of the configuration in force, if there is one.
+// The limits of the current configuration; the defaults if there is none.
 net::http_limits CurrentLimits(const gateway_options& options,
                                const i_control& control) {
   const auto routes = control.Routes();
--- a/src/gateway/internal/traffic_thread.cc
+++ b/src/gateway/internal/traffic_thread.cc
@@ -30,7 +30,7 @@
   const i_call_dialect* dialect;
   std::atomic<std::uint32_t>& connections;
   boost::asio::io_context io{1};
-  // Set while the thread serves; used on it only.
+  // Set while the thread is serving; accessed only from that thread.
   traffic_service* service = nullptr;
   fiber_event stop;
   std::thread thread;
--- a/src/gateway/numbered_event_scanner.h
+++ b/src/gateway/numbered_event_scanner.h
@@ -1,4 +1,4 @@
-// Checks a stream of server-sent events by their numbers.
+// Validates a stream of server-sent events by their sequence numbers.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +11,16 @@
 
 namespace burdocklock::gateway {
 
-/// The number that an event id stands for; nullopt if it is not one.
+/// Parses an event ID as a sequence number; nullopt if it is not a number.
 std::optional<std::uint64_t> ParseEventNumber(std::string_view id);
 
-/// Releases whole events whose ids rise by one. The stream is whole if its body
-/// ends properly after a whole event.
+/// Releases complete events with consecutive IDs. The stream is complete if its
+/// body ends after a complete event.
 class numbered_event_scanner : public i_stream_scanner {
  public:
   static constexpr std::size_t kMaxEventBytes = 1024 * 1024;
 
-  /// `after` is the id of the last event passed on by an earlier attempt.
+  /// `after` is the ID of the last event forwarded by an earlier attempt.
   explicit numbered_event_scanner(std::optional<std::uint64_t> after)
       : last_id_(after) {}
 
--- a/src/gateway/operator_handler.h
+++ b/src/gateway/operator_handler.h
@@ -1,4 +1,4 @@
-// HTTP interface of operators and the platform, on a listener of its own.
+// HTTP interface for operators and the platform, on a separate listener.
 #pragma once
 
 #include <string>
--- a/src/gateway/progress_reporter.h
+++ b/src/gateway/progress_reporter.h
@@ -1,5 +1,5 @@
 // Collects the output of one traffic thread's streams and reports it to the
-// control thread in batches, so that a token costs no message of its own.
+// control thread in batches, to avoid sending a message per token.
 #pragma once
 
 #include <cstddef>
@@ -17,23 +17,23 @@
 
 class progress_reporter;
 
-/// The progress of one running attempt; reported until it is destroyed.
+/// Progress of one running attempt; reported periodically until destroyed.
 class attempt_progress_meter {
  public:
   attempt_progress_meter(progress_reporter& reporter,
                          request_seq request,
                          attempt_number attempt);
-  /// Reports what is left.
+  /// Reports the remaining tokens.
   ~attempt_progress_meter();
   attempt_progress_meter(const attempt_progress_meter&) = delete;
   attempt_progress_meter& operator=(const attempt_progress_meter&) = delete;
 
-  /// Output arrived; `tokens` may be zero.
+  /// Records received output; `tokens` may be zero.
   void Add(std::uint32_t tokens) {
     tokens_ += tokens;
     active_ = true;
   }
-  /// While a caller is slow to take its answer the attempt counts as active.
+  /// While a write to the caller is blocked the attempt counts as active.
   void SetBlocked(bool blocked) { blocked_ = blocked; }
 
  private:
--- a/src/gateway/prompt_fields.h
+++ b/src/gateway/prompt_fields.h
@@ -1,4 +1,4 @@
-// Reads what callers say of a prompt in header fields.
+// Parses the header fields that describe a prompt.
 #pragma once
 
 #include <optional>
@@ -8,10 +8,10 @@
 
 namespace burdocklock::gateway {
 
-/// `tokens` is "INPUT,MOST_OUTPUT" in decimal; `parts` lists "ID:TOKENS" with
-/// commas, the ids in hexadecimal. nullopt if `tokens` cannot be read; of
-/// `parts`, what comes before the first malformed entry is kept, since only
-/// the beginning of a prompt can be shared.
+/// `tokens` is "INPUT,MAX_OUTPUT" in decimal; `parts` is a comma-separated list
+/// of "ID:TOKENS" with hexadecimal IDs. Returns nullopt if `tokens` is
+/// malformed. `parts` is used up to the first malformed entry, since only the
+/// prefix of a prompt can be shared.
 std::optional<targets::prompt> ReadPromptFields(std::string_view tokens,
                                                 std::string_view parts);
 
--- a/src/gateway/routed_dialect.h
+++ b/src/gateway/routed_dialect.h
@@ -1,5 +1,5 @@
-// What the dialects of routes have in common: they differ in the names of
-// header fields and in how a call and an answer are read.
+// Common base of route dialects, which differ in header field names and in how
+// calls and responses are parsed.
 #pragma once
 
 #include <memory>
@@ -14,18 +14,18 @@
 
 /// Names of header fields.
 struct call_fields {
-  /// The caller's name of one try; targets repeat it in their answers.
+  /// Request ID of one try by the caller; targets echo it in their responses.
   const char* name;
-  /// How long the caller still waits, in milliseconds.
+  /// Remaining time until the caller's deadline, in milliseconds.
   const char* time_left;
   const char* customer;
-  /// The target that is meant; another one at the address answers 421.
+  /// The intended target; any other target at the address responds with 421.
   const char* target;
-  /// A stream goes on after this event.
+  /// ID of the event after which a stream resumes.
   const char* resume_after;
-  /// Another target, as "ip:port", that keeps part of the prompt.
+  /// Another target, as "ip:port", that has part of the prompt cached.
   const char* copy_from;
-  /// Further ones that only routers may set; dropped from callers' requests,
+  /// Further fields that only routers may set; removed from callers' requests,
   /// as are `time_left`, `customer`, `target` and `copy_from`.
   std::vector<const char*> set_by_routers;
 };
@@ -37,11 +37,11 @@
       const call_identity& identity) const override;
   void Prepare(const attempt_terms& terms,
                net::http_request& request) const override;
-  /// Streams are numbered events.
+  /// Streams consist of numbered events.
   [[nodiscard]] std::unique_ptr<i_stream_scanner> MakeScanner(
       const outgoing_call& call,
       const std::optional<std::string>& resume_after) const override;
-  /// The head of an answer has named the request already.
+  /// Always matches: the response header has been checked already.
   [[nodiscard]] answer_summary Summarise(const outgoing_call& call,
                                          unsigned status,
                                          std::string_view body) const override;
@@ -55,8 +55,8 @@
 
   explicit routed_dialect(call_fields fields);
 
-  /// A target's own failure is passed on at once unless another target may
-  /// still do better.
+  /// A server error is forwarded at once unless the call is repeatable, so that
+  /// another target may serve it.
   [[nodiscard]] static head_verdict JudgeStatus(
       const net::http_response_head& head,
       const outgoing_call& call);
--- a/src/gateway/routed_handler.h
+++ b/src/gateway/routed_handler.h
@@ -1,4 +1,4 @@
-// Serves callers by the routes of the routing configuration.
+// Serves callers according to the routing configuration.
 #pragma once
 
 #include "framework/net/http_server.h"
@@ -23,7 +23,7 @@
   const i_call_dialect& dialect_;
 };
 
-/// The specification of a call on a route, but for its id.
+/// Builds the specification of a call on a route; `id` is not set.
 routing::request_spec SpecifyCall(const routes::route& route,
                                   const customer_id& customer,
                                   const call_facts& facts);
--- a/src/gateway/sse_scanner.h
+++ b/src/gateway/sse_scanner.h
@@ -1,4 +1,4 @@
-// Checks a stream of server-sent events whose data name the request.
+// Validates a stream of server-sent events whose data contain the request ID.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 
 namespace burdocklock::gateway {
 
-/// Splits a stream into events and approves those that name the expected
-/// request. Bytes are released only as whole, approved events.
+/// Splits a stream into events and releases only complete events that carry the
+/// expected request ID.
 class sse_scanner : public i_stream_scanner {
  public:
   static constexpr std::size_t kMaxEventBytes = 1024 * 1024;
@@ -21,7 +21,7 @@
   explicit sse_scanner(std::string request_name);
 
   std::string_view Feed(std::string_view bytes) override;
-  /// A whole stream ends with its closing event.
+  /// A complete stream ends with the closing event.
   [[nodiscard]] bool IsWholeAtEnd() const override {
     return state_ == stream_state::kDone;
   }
@@ -48,7 +48,7 @@
   std::optional<routing::usage> usage_;
 };
 
-/// True if `answer_id`, such as "chatcmpl-NAME", names the request.
+/// True if `answer_id`, such as "chatcmpl-NAME", contains the request ID.
 bool NamesRequest(std::string_view answer_id, std::string_view request_name);
 
 answer_summary SummariseAnswer(std::string_view body,
--- a/src/gateway/target_links.h
+++ b/src/gateway/target_links.h
@@ -1,4 +1,4 @@
-// Idle connections to targets, kept for reuse by one traffic thread.
+// Pool of idle connections to targets, used by one traffic thread.
 #pragma once
 
 #include <chrono>
@@ -16,15 +16,15 @@
 
 namespace burdocklock::gateway {
 
-/// Invariants: a connection in here has no request in flight and nothing left
-/// to read; it belongs to one incarnation of its target and is younger than
-/// the idle limit when it is handed out.
+/// Invariants: a pooled connection has no request in flight and no unread data;
+/// it belongs to one incarnation of its target; it has been idle for less than
+/// the idle limit when it is taken.
 class target_links {
  public:
   target_links(boost::asio::io_context& context, duration max_idle);
 
-  /// An idle connection to that incarnation; nullptr if there is none that is
-  /// certain to be usable.
+  /// Takes an idle connection to that incarnation; nullptr if there is none
+  /// that is known to be usable.
   std::unique_ptr<net::http_client> Take(const endpoint& address,
                                          incarnation life);
   void Put(incarnation life, std::unique_ptr<net::http_client> link);
--- a/src/gateway/tests/gateway_unittest.cc
+++ b/src/gateway/tests/gateway_unittest.cc
@@ -1,4 +1,4 @@
-// Parsing of calls and checking of answers.
+// Tests of call parsing, stream validation and shutdown admission.
 #include <string>
 #include <vector>
 
--- a/src/gateway/traffic_service.h
+++ b/src/gateway/traffic_service.h
@@ -1,5 +1,5 @@
-// Serves callers on one io_context: listener, idle target connections and
-// progress reports.
+// Serves callers on one io_context: owns the listener, idle target connections
+// and progress reports.
 #pragma once
 
 #include <atomic>
@@ -16,11 +16,12 @@
 
 namespace burdocklock::gateway {
 
-/// All members must be called from fibers of the io_context's thread.
+/// All members must be called from fibers on the io_context's thread.
 class traffic_service {
  public:
-  /// `dialect` is that of routed callers; nullptr for the OpenAI-style
-  /// interface. `connections` counts open caller connections over all services.
+  /// `dialect` is the protocol for routed callers; nullptr selects the
+  /// OpenAI-style interface. `connections` counts open caller connections
+  /// across all services.
   traffic_service(boost::asio::io_context& io,
                   gateway_options options,
                   i_control& control,
@@ -28,11 +29,11 @@
                   std::atomic<std::uint32_t>& connections);
   ~traffic_service();
 
-  /// Returns the address that it listens on.
+  /// Returns the listening address.
   result<endpoint> Start();
-  /// Closes connections that wait for a further request.
+  /// Closes idle caller connections.
   void CloseIdle();
-  /// Stops to accept; requests in progress go on.
+  /// Stops accepting connections; requests in progress continue.
   void Stop();
 
  private:
--- a/src/gateway/traffic_thread.h
+++ b/src/gateway/traffic_thread.h
@@ -1,4 +1,4 @@
-// A thread that serves callers, with an io_context of its own.
+// Thread that serves callers with its own io_context.
 #pragma once
 
 #include <atomic>
@@ -15,21 +15,21 @@
 
 class traffic_thread {
  public:
-  /// `connections` counts open caller connections over all threads.
+  /// `connections` counts open caller connections across all threads.
   traffic_thread(gateway_options options,
                  i_control& control,
                  const i_call_dialect* dialect,
                  std::atomic<std::uint32_t>& connections);
   ~traffic_thread();
 
-  /// Starts the thread; returns the address that it listens on.
+  /// Starts the thread; returns the listening address.
   result<endpoint> Start();
-  /// Closes connections that wait for a further request. Callable from any
-  /// thread.
+  /// Closes idle caller connections. Callable from any thread.
   void CloseIdle();
-  /// Stops to accept; requests in progress go on. Callable from any thread.
+  /// Stops accepting connections; requests in progress continue. Callable from
+  /// any thread.
   void Stop();
-  /// Waits until the last request has ended.
+  /// Waits until the last request has finished.
   void Join();
 
  private:
--- a/src/gateway/types/drain_window.h
+++ b/src/gateway/types/drain_window.h
@@ -1,4 +1,4 @@
-// What a daemon that shuts down still takes.
+// Admission of calls during a graceful shutdown.
 #pragma once
 
 #include <chrono>
@@ -8,18 +8,19 @@
 
 namespace burdocklock::gateway {
 
-/// The two ends of a shutdown. `cut` is not before `notice_end`.
+/// The phases of a graceful shutdown. `cut` is not before `notice_end`.
 struct drain_window {
-  /// Until then callers cannot know of the shutdown, and all calls are taken.
+  /// Callers may not have noticed the shutdown before this time, so all calls
+  /// are accepted.
   time_point notice_end;
-  /// What still runs then is cut.
+  /// Calls still running at this time are aborted.
   time_point cut;
 
-  /// Whether a call that lasts `longest` at most is taken at `now`; without a
-  /// bound on its length it is taken during the notice only.
+  /// Whether a call that takes at most `longest` is accepted at `now`; a call
+  /// without a time limit is accepted only before `notice_end`.
   [[nodiscard]] bool Takes(time_point now,
                            std::optional<duration> longest) const {
-    // For writing the last answer after the call's time is over.
+    // Time to write the final response after the call's time limit.
     constexpr std::chrono::milliseconds kAnswerReserve{200};
     return now < notice_end ||
            (longest.has_value() && now + *longest + kAnswerReserve <= cut);
--- a/src/gateway/types/gateway_options.h
+++ b/src/gateway/types/gateway_options.h
@@ -1,4 +1,4 @@
-// Settings of the traffic side.
+// Options of the traffic threads.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 struct gateway_options {
   endpoint listen;
-  /// Lets several services listen on one port.
+  /// Allows several services to listen on the same port.
   bool share_port = false;
   std::uint32_t max_connections = 4096;
   std::uint32_t max_header_bytes = 16 * 1024;
@@ -21,7 +21,7 @@
   duration caller_idle = std::chrono::seconds(60);
   duration caller_read = std::chrono::seconds(15);
   duration caller_write = std::chrono::seconds(30);
-  /// Idle connections to targets older than this are not used again.
+  /// Target connections that have been idle for longer are not reused.
   duration target_idle = std::chrono::seconds(15);
   std::vector<config::key_hash> target_tokens;
 };
