--- a/src/gateway/i_stream_scanner.h
+++ b/src/gateway/i_stream_scanner.h
@@ -30,7 +30,7 @@
   virtual std::string_view Feed(std::string_view bytes) = 0;
   /// Called when the body has ended without a connection error. True if the
   /// stream is complete.
-  [[nodiscard]] virtual bool IsWholeAtEnd() const = 0;
+  [[nodiscard]] virtual bool IsCompleteAtEnd() const = 0;
 
   [[nodiscard]] virtual stream_state state() const = 0;
   /// Number of events with output released by the last call to `Feed`.
--- a/src/gateway/i_target_dialect.h
+++ b/src/gateway/i_target_dialect.h
@@ -26,7 +26,7 @@
 };
 
 /// Parameters of one attempt.
-struct attempt_terms {
+struct attempt_parameters {
   target_id target;
   /// Remaining time until the caller's deadline.
   std::optional<duration> time_left;
@@ -55,8 +55,8 @@
 };
 
 /// Metadata read from the body of a non-streamed response.
-struct answer_summary {
-  bool names_request = false;
+struct response_summary {
+  bool matches_request = false;
   std::optional<routing::usage> reported_usage;
 };
 
@@ -65,7 +65,7 @@
   virtual ~i_target_dialect() = default;
 
   /// Sets the header fields that differ between attempts.
-  virtual void Prepare(const attempt_terms& terms,
+  virtual void Prepare(const attempt_parameters& parameters,
                        net::http_request& request) const = 0;
   [[nodiscard]] virtual head_verdict Judge(const net::http_response_head& head,
                                            const outgoing_call& call) const = 0;
@@ -73,14 +73,14 @@
       const outgoing_call& call,
       const std::optional<std::string>& resume_after) const = 0;
   /// Reads the metadata of a non-streamed response.
-  [[nodiscard]] virtual answer_summary Summarise(
+  [[nodiscard]] virtual response_summary Summarise(
       const outgoing_call& call,
       unsigned status,
       std::string_view body) const = 0;
   /// Header field that carries the request ID in responses to callers.
-  [[nodiscard]] virtual std::string_view name_field() const = 0;
+  [[nodiscard]] virtual std::string_view request_id_field() const = 0;
   /// True if a truncated stream ends with an error event.
-  [[nodiscard]] virtual bool announces_cuts() const = 0;
+  [[nodiscard]] virtual bool signals_truncation() const = 0;
   /// True if callers accept fractional seconds in Retry-After.
   [[nodiscard]] virtual bool fractional_retry_after() const = 0;
 };
--- a/src/gateway/internal/attempt_runner.cc
+++ b/src/gateway/internal/attempt_runner.cc
@@ -19,7 +19,7 @@
 constexpr std::chrono::seconds kStreamTailTimeout{1};
 constexpr std::size_t kReadBytes = 32 * 1024;
 // How many responses to earlier requests are skipped on a reused connection.
-constexpr int kMaxOtherAnswers = 2;
+constexpr int kMaxStaleResponses = 2;
 
 bool IsEventStream(const net::http_response_head& head) {
   return head.fields[net::http::field::content_type].starts_with(
@@ -31,7 +31,7 @@
 attempt_runner::attempt_runner(traffic_context& context,
                                const outgoing_call& call,
                                const routing::start_attempt& order,
-                               answer_writer& writer)
+                               response_writer& writer)
     : context_(context), call_(call), order_(order), writer_(writer) {}
 
 attempt_event attempt_runner::Run() {
@@ -51,21 +51,21 @@
 
 void attempt_runner::Cancel() {
   cancelled_ = true;
-  if (link_) {
-    link_->Close();
+  if (connection_) {
+    connection_->Close();
   }
 }
 
 std::optional<attempt_failed> attempt_runner::Connect() {
   if (order_.connection == routing::connection_choice::kReuseAllowed) {
-    link_ = context_.links.Take(order_.address, order_.life);
+    connection_ = context_.idle_connections.Take(order_.address, order_.life);
   }
-  if (link_) {
-    reused_link_ = true;
+  if (connection_) {
+    reused_connection_ = true;
     return std::nullopt;
   }
-  link_ = std::make_unique<net::http_client>(context_.io);
-  const result<void> connected = link_->Connect(order_.address);
+  connection_ = std::make_unique<net::http_client>(context_.io);
+  const result<void> connected = connection_->Connect(order_.address);
   if (!connected) {
     return Fail(failure_kind::kConnectFailed, connected.error().step,
                 connected.error().detail);
@@ -80,15 +80,16 @@
   sent_ = true;
   Report(routing::attempt_sending{});
   net::http_request request = call_.request;
-  attempt_terms terms{.target = order_.target, .copy_from = order_.copy_from};
+  attempt_parameters parameters{.target = order_.target,
+                                .copy_from = order_.copy_from};
   if (call_.deadline) {
-    terms.time_left = *call_.deadline - std::chrono::steady_clock::now();
+    parameters.time_left = *call_.deadline - std::chrono::steady_clock::now();
   }
   if (order_.resumes) {
-    terms.resume_after = writer_.last_event_id();
+    parameters.resume_after = writer_.last_event_id();
   }
-  context_.dialect.Prepare(terms, request);
-  const result<void> sent = link_->Send(request);
+  context_.dialect.Prepare(parameters, request);
+  const result<void> sent = connection_->Send(request);
   if (!sent) {
     return FailFrom(sent.error());
   }
@@ -96,13 +97,13 @@
 }
 
 attempt_event attempt_runner::Receive() {
-  for (int others = 0; others <= kMaxOtherAnswers; ++others) {
-    const auto head = link_->ReadHead(context_.max_answer_bytes);
+  for (int stale = 0; stale <= kMaxStaleResponses; ++stale) {
+    const auto head = connection_->ReadHead(context_.max_answer_bytes);
     if (!head) {
       return FailFrom(head.error());
     }
     const head_verdict verdict = context_.dialect.Judge(head.value(), call_);
-    if (verdict == head_verdict::kOtherRequest && reused_link_) {
+    if (verdict == head_verdict::kOtherRequest && reused_connection_) {
       std::string skipped;
       if (auto failure = ReadBody(skipped)) {
         return *failure;
@@ -110,7 +111,7 @@
       continue;
     }
     if (verdict == head_verdict::kFailure) {
-      return KeepFailure(head.value());
+      return SaveErrorResponse(head.value());
     }
     if (auto failure = CheckHead(verdict, head.value())) {
       return *failure;
@@ -119,7 +120,7 @@
         head.value().status == kOk && IsEventStream(head.value())) {
       return RelayStream(head.value());
     }
-    return ReceiveWhole(head.value());
+    return ReceiveResponse(head.value());
   }
   return Fail(failure_kind::kWrongAnswer, "read head",
               "only answers to other requests");
@@ -153,8 +154,8 @@
 
 std::optional<attempt_failed> attempt_runner::ReadBody(std::string& body) {
   std::array<char, kReadBytes> piece;
-  while (!link_->AtEnd()) {
-    const auto read = link_->ReadSome(piece.data(), piece.size());
+  while (!connection_->AtEnd()) {
+    const auto read = connection_->ReadSome(piece.data(), piece.size());
     if (!read) {
       return FailFrom(read.error());
     }
@@ -167,36 +168,37 @@
   return std::nullopt;
 }
 
-attempt_event attempt_runner::ReceiveWhole(
+attempt_event attempt_runner::ReceiveResponse(
     const net::http_response_head& head) {
   Report(routing::attempt_first_output{});
   std::string body;
   if (auto failure = ReadBody(body)) {
     return *failure;
   }
-  const answer_summary summary =
+  const response_summary summary =
       context_.dialect.Summarise(call_, head.status, body);
-  if (!summary.names_request) {
+  if (!summary.matches_request) {
     return Fail(failure_kind::kWrongAnswer, "read answer",
                 "the body does not name this request");
   }
-  KeepLink();
-  if (!writer_.WriteWhole(head, std::move(body))) {
+  ReleaseConnection();
+  if (!writer_.WriteResponse(head, std::move(body))) {
     return Fail(failure_kind::kCallerLost, "write answer", "caller lost");
   }
   return attempt_completed{.reported = summary.reported_usage};
 }
 
-attempt_event attempt_runner::KeepFailure(const net::http_response_head& head) {
+attempt_event attempt_runner::SaveErrorResponse(
+    const net::http_response_head& head) {
   std::string body;
   if (auto failure = ReadBody(body)) {
     return *failure;
   }
-  KeepLink();
+  ReleaseConnection();
   attempt_failed failure = Fail(failure_kind::kTargetError, "read head",
                                 "status " + std::to_string(head.status));
   failure.has_answer = !cancelled_ && !writer_.started();
-  kept_ = {.head = head, .body = std::move(body)};
+  saved_response_ = {.head = head, .body = std::move(body)};
   return failure;
 }
 
@@ -207,15 +209,15 @@
   }
   const auto scanner = context_.dialect.MakeScanner(call_, resume_after);
   std::array<char, kReadBytes> piece;
-  while (scanner->state() == stream_state::kOpen && !link_->AtEnd()) {
-    const auto read = link_->ReadSome(piece.data(), piece.size());
+  while (scanner->state() == stream_state::kOpen && !connection_->AtEnd()) {
+    const auto read = connection_->ReadSome(piece.data(), piece.size());
     if (!read) {
       return FailFrom(read.error());
     }
     const std::string_view events =
         scanner->Feed(std::string_view(piece.data(), read.value()));
     if (!events.empty()) {
-      if (!PassOn(head, events, scanner->new_tokens())) {
+      if (!ForwardEvents(head, events, scanner->new_tokens())) {
         return Fail(failure_kind::kCallerLost, "write stream", "caller lost");
       }
       writer_.SetLastEventId(scanner->last_event_id());
@@ -233,20 +235,20 @@
     return Fail(failure_kind::kTargetError, "read stream",
                 "the engine reported an error");
   }
-  if (!scanner.IsWholeAtEnd() || !writer_.started()) {
+  if (!scanner.IsCompleteAtEnd() || !writer_.started()) {
     return Fail(failure_kind::kBroken, "read stream",
                 "ended before it was whole");
   }
   if (!writer_.EndStream()) {
     return Fail(failure_kind::kCallerLost, "write stream", "caller lost");
   }
-  FinishStreamTail();
+  ReadStreamTail();
   return attempt_completed{.reported = scanner.reported_usage()};
 }
 
-bool attempt_runner::PassOn(const net::http_response_head& head,
-                            std::string_view events,
-                            std::uint32_t tokens) {
+bool attempt_runner::ForwardEvents(const net::http_response_head& head,
+                                   std::string_view events,
+                                   std::uint32_t tokens) {
   const time_point now = std::chrono::steady_clock::now();
   if (!last_output_) {
     Report(routing::attempt_first_output{});
@@ -264,22 +266,22 @@
   return written;
 }
 
-void attempt_runner::KeepLink() {
-  if (!cancelled_ && link_->Reusable()) {
-    context_.links.Put(order_.life, std::move(link_));
+void attempt_runner::ReleaseConnection() {
+  if (!cancelled_ && connection_->Reusable()) {
+    context_.idle_connections.Put(order_.life, std::move(connection_));
   }
 }
 
-void attempt_runner::FinishStreamTail() {
-  link_->ExpiresAfter(kStreamTailTimeout);
+void attempt_runner::ReadStreamTail() {
+  connection_->ExpiresAfter(kStreamTailTimeout);
   std::array<char, kReadBytes> piece;
-  while (!link_->AtEnd()) {
-    const auto read = link_->ReadSome(piece.data(), piece.size());
+  while (!connection_->AtEnd()) {
+    const auto read = connection_->ReadSome(piece.data(), piece.size());
     if (!read) {
       return;
     }
   }
-  KeepLink();
+  ReleaseConnection();
 }
 
 attempt_failed attempt_runner::Fail(failure_kind kind,
--- a/src/gateway/internal/attempt_runner.h
+++ b/src/gateway/internal/attempt_runner.h
@@ -9,9 +9,9 @@
 #include "framework/net/http_client.h"
 #include "gateway/i_control.h"
 #include "gateway/i_target_dialect.h"
-#include "gateway/internal/answer_writer.h"
+#include "gateway/internal/response_writer.h"
 #include "gateway/progress_reporter.h"
-#include "gateway/target_links.h"
+#include "gateway/target_connections.h"
 #include "routing/types/attempt.h"
 #include "routing/types/effect.h"
 #include "routing/types/request.h"
@@ -23,14 +23,14 @@
   boost::asio::io_context& io;
   i_control& control;
   const i_target_dialect& dialect;
-  target_links& links;
+  target_connections& idle_connections;
   progress_reporter& progress;
   std::uint32_t max_answer_bytes = 0;
 };
 
 /// A target's error response, forwarded if no other target can serve the
 /// request.
-struct kept_answer {
+struct saved_response {
   net::http_response_head head;
   std::string body;
 };
@@ -43,12 +43,14 @@
   attempt_runner(traffic_context& context,
                  const outgoing_call& call,
                  const routing::start_attempt& order,
-                 answer_writer& writer);
+                 response_writer& writer);
 
   /// Runs the attempt and returns `attempt_completed` or `attempt_failed`.
   routing::attempt_event Run();
   /// The error response, if `Run` returned a failure with `has_answer` set.
-  [[nodiscard]] kept_answer TakeAnswer() { return std::move(kept_); }
+  [[nodiscard]] saved_response TakeSavedResponse() {
+    return std::move(saved_response_);
+  }
   /// Cancels `Run` by closing the connection; call only from the same thread.
   void Cancel();
 
@@ -61,15 +63,15 @@
       const net::http_response_head& head) const;
   /// Reads the rest of a response into `body`; nullopt on success.
   std::optional<routing::attempt_failed> ReadBody(std::string& body);
-  routing::attempt_event ReceiveWhole(const net::http_response_head& head);
-  routing::attempt_event KeepFailure(const net::http_response_head& head);
+  routing::attempt_event ReceiveResponse(const net::http_response_head& head);
+  routing::attempt_event SaveErrorResponse(const net::http_response_head& head);
   routing::attempt_event RelayStream(const net::http_response_head& head);
   routing::attempt_event FinishStream(i_stream_scanner& scanner);
-  bool PassOn(const net::http_response_head& head,
-              std::string_view events,
-              std::uint32_t tokens);
-  void KeepLink();
-  void FinishStreamTail();
+  bool ForwardEvents(const net::http_response_head& head,
+                     std::string_view events,
+                     std::uint32_t tokens);
+  void ReleaseConnection();
+  void ReadStreamTail();
   routing::attempt_failed Fail(routing::failure_kind kind,
                                std::string step,
                                std::string detail) const;
@@ -79,13 +81,13 @@
   traffic_context& context_;
   const outgoing_call& call_;
   const routing::start_attempt& order_;
-  answer_writer& writer_;
-  std::unique_ptr<net::http_client> link_;
+  response_writer& writer_;
+  std::unique_ptr<net::http_client> connection_;
   attempt_progress_meter* meter_ = nullptr;
   bool sent_ = false;
   bool cancelled_ = false;
-  bool reused_link_ = false;
-  kept_answer kept_;
+  bool reused_connection_ = false;
+  saved_response saved_response_;
   std::optional<time_point> last_output_;
 };
 
--- a/src/gateway/internal/call_service.cc
+++ b/src/gateway/internal/call_service.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // Retry-After during shutdown: the usual duration of a daemon restart.
-constexpr std::chrono::seconds kRestartWait{1};
+constexpr std::chrono::seconds kRestartRetryAfter{1};
 
 }  // namespace
 
@@ -23,16 +23,16 @@
                                     outgoing_call call) {
   const std::optional<drain_window> drain = context_.control.DrainWindow();
   if (drain &&
-      !drain->Takes(std::chrono::steady_clock::now(), call.spec.time_limit)) {
+      !drain->Accepts(std::chrono::steady_clock::now(), call.spec.time_limit)) {
     return Refuse(connection, request, call.request_name,
                   {.customer = call.spec.customer,
                    .request = call.spec.id,
                    .reason = refusal_reason::kDraining,
-                   .retry_after = kRestartWait});
+                   .retry_after = kRestartRetryAfter});
   }
   const bool keep = request.keep_alive() && !drain;
-  answer_writer writer(connection, request, call.request_name, keep,
-                       context_.dialect);
+  response_writer writer(connection, request, call.request_name, keep,
+                         context_.dialect);
   std::make_shared<caller_exchange>(context_, connection, std::move(call),
                                     writer)
       ->Run();
@@ -49,12 +49,12 @@
   const request_seq id = *refusal.request;
   const bool keep = request.keep_alive() && !context_.control.IsDraining() &&
                     request.method() != net::http::verb::unknown;
-  answer_writer writer(connection, request, name, keep, context_.dialect);
-  outgoing_call nothing_sent{.spec = {.id = id, .caller_name = name},
+  response_writer writer(connection, request, name, keep, context_.dialect);
+  outgoing_call refused_call{.spec = {.id = id, .caller_name = name},
                              .request_name = name,
                              .request = {}};
   std::make_shared<caller_exchange>(context_, connection,
-                                    std::move(nothing_sent), writer)
+                                    std::move(refused_call), writer)
       ->RunRefused(std::move(refusal));
   return writer.keep_alive();
 }
--- a/src/gateway/internal/caller_exchange.cc
+++ b/src/gateway/internal/caller_exchange.cc
@@ -13,7 +13,7 @@
 caller_exchange::caller_exchange(traffic_context& context,
                                  net::http_connection& connection,
                                  outgoing_call call,
-                                 answer_writer& writer)
+                                 response_writer& writer)
     : context_(context),
       connection_(connection),
       call_(std::move(call)),
@@ -32,18 +32,18 @@
 
 void caller_exchange::Loop() {
   while (!finished_) {
-    if (inbox_.empty()) {
-      inbox_changed_.Wait();
+    if (pending_orders_.empty()) {
+      pending_orders_changed_.Wait();
       continue;
     }
-    const exchange_order order = std::move(inbox_.front());
-    inbox_.pop_front();
+    const exchange_order order = std::move(pending_orders_.front());
+    pending_orders_.pop_front();
     std::visit([this](const auto& value) { Execute(value); }, order);
   }
   // Orders that arrived while the exchange was ending still need a report.
-  for (const exchange_order& order : std::exchange(inbox_, {})) {
+  for (const exchange_order& order : std::exchange(pending_orders_, {})) {
     if (const auto* start = std::get_if<routing::start_attempt>(&order)) {
-      AnswerUnstarted(*start, failure_kind::kCallerLost);
+      ReportNotStarted(*start, failure_kind::kCallerLost);
     }
   }
   boost::system::error_code ignored;
@@ -64,12 +64,12 @@
   }
   if (finished_) {
     if (const auto* start = std::get_if<routing::start_attempt>(&order)) {
-      AnswerUnstarted(*start, failure_kind::kCallerLost);
+      ReportNotStarted(*start, failure_kind::kCallerLost);
     }
     return;
   }
-  inbox_.push_back(std::move(order));
-  inbox_changed_.Set();
+  pending_orders_.push_back(std::move(order));
+  pending_orders_changed_.Set();
 }
 
 void caller_exchange::Execute(const routing::cancel_attempt& order) {
@@ -82,8 +82,8 @@
 
 void caller_exchange::Execute(const routing::start_attempt& order) {
   if (caller_lost_ || cancelled_attempt_ == order.attempt) {
-    AnswerUnstarted(order, caller_lost_ ? failure_kind::kCallerLost
-                                        : failure_kind::kCancelled);
+    ReportNotStarted(order, caller_lost_ ? failure_kind::kCallerLost
+                                         : failure_kind::kCancelled);
     finished_ = finished_ || caller_lost_;
     return;
   }
@@ -93,7 +93,7 @@
   routing::attempt_event event = runner.Run();
   running_ = nullptr;
   delivered_ = writer_.started();
-  kept_ = runner.TakeAnswer();
+  saved_response_ = runner.TakeSavedResponse();
   if (auto* failure = std::get_if<attempt_failed>(&event)) {
     if (caller_lost_ || writer_.failed()) {
       failure->kind = failure_kind::kCallerLost;
@@ -116,21 +116,22 @@
 
 void caller_exchange::Execute(const routing::forward_error_response&) {
   if (!caller_lost_) {
-    writer_.WriteWhole(kept_.head, std::move(kept_.body));
+    writer_.WriteResponse(saved_response_.head,
+                          std::move(saved_response_.body));
   }
   finished_ = true;
 }
 
 void caller_exchange::Execute(const routing::truncate_response& order) {
   if (!caller_lost_) {
-    writer_.WriteCut(order.refusal,
-                     context_.control.RefusalName(order.refusal.id));
+    writer_.WriteTruncation(order.refusal,
+                            context_.control.RefusalName(order.refusal.id));
   }
   finished_ = true;
 }
 
-void caller_exchange::AnswerUnstarted(const routing::start_attempt& order,
-                                      failure_kind kind) {
+void caller_exchange::ReportNotStarted(const routing::start_attempt& order,
+                                       failure_kind kind) {
   context_.control.ReportAttempt(
       order.request, order.attempt,
       attempt_failed{.kind = kind,
@@ -173,7 +174,7 @@
   }
   context_.control.ReportCallerLeft(call_.spec.id);
   finished_ = true;
-  inbox_changed_.Set();
+  pending_orders_changed_.Set();
 }
 
 }  // namespace burdocklock::gateway
--- a/src/gateway/internal/caller_exchange.h
+++ b/src/gateway/internal/caller_exchange.h
@@ -10,8 +10,8 @@
 #include "framework/fiber/use_fiber.h"
 #include "framework/net/http_server.h"
 #include "gateway/i_control.h"
-#include "gateway/internal/answer_writer.h"
 #include "gateway/internal/attempt_runner.h"
+#include "gateway/internal/response_writer.h"
 
 namespace burdocklock::gateway {
 
@@ -22,7 +22,7 @@
   caller_exchange(traffic_context& context,
                   net::http_connection& connection,
                   outgoing_call call,
-                  answer_writer& writer);
+                  response_writer& writer);
 
   /// Submits the call and blocks the fiber until the response is written or the
   /// caller disconnects.
@@ -40,8 +40,8 @@
   void Execute(const routing::refuse_request& order);
   void Execute(const routing::forward_error_response& order);
   void Execute(const routing::truncate_response& order);
-  void AnswerUnstarted(const routing::start_attempt& order,
-                       routing::failure_kind kind);
+  void ReportNotStarted(const routing::start_attempt& order,
+                        routing::failure_kind kind);
   void WatchCaller();
   void OnCallerReadable();
   void OnCallerLost();
@@ -50,14 +50,14 @@
   // Valid, like `writer_`, only while `Run` or `RunRefused` executes.
   net::http_connection& connection_;
   outgoing_call call_;
-  answer_writer& writer_;
+  response_writer& writer_;
   /// Copy of `writer_.started()`: the writer may be destroyed when late orders
   /// arrive.
   bool delivered_ = false;
   /// The last error response of a target that could be forwarded.
-  kept_answer kept_;
-  std::deque<exchange_order> inbox_;
-  fiber_event inbox_changed_;
+  saved_response saved_response_;
+  std::deque<exchange_order> pending_orders_;
+  fiber_event pending_orders_changed_;
   attempt_runner* running_ = nullptr;
   attempt_number running_attempt_{0};
   std::optional<attempt_number> cancelled_attempt_;
--- a/src/gateway/internal/caller_handler.cc
+++ b/src/gateway/internal/caller_handler.cc
@@ -26,7 +26,7 @@
     http::verb::get, http::verb::post, http::verb::put, http::verb::patch,
     http::verb::delete_};
 
-call_input InputOf(const net::http_request& request) {
+call_input MakeCallInput(const net::http_request& request) {
   return {.method = request.method_string(),
           .path = request.target(),
           .authorization = request[http::field::authorization],
@@ -93,7 +93,7 @@
                    .detail = "the method is not supported"});
   }
   const auto sheet = context_.control.Sheet();
-  call_result parsed = ParseCall(InputOf(request), *sheet);
+  call_result parsed = ParseCall(MakeCallInput(request), *sheet);
   if (auto* rejected = std::get_if<rejected_call>(&parsed)) {
     return Refuse(connection, request,
                   {.customer = rejected->customer,
--- a/src/gateway/internal/event_text.cc
+++ b/src/gateway/internal/event_text.cc
@@ -3,7 +3,7 @@
 
 namespace burdocklock::gateway {
 
-std::size_t EventEnd(std::string_view text, std::size_t from) {
+std::size_t FindEventEnd(std::string_view text, std::size_t from) {
   for (std::size_t at = text.find('\n', from); at != std::string_view::npos;
        at = text.find('\n', at + 1)) {
     if (at + 1 < text.size() && text[at + 1] == '\n') {
--- a/src/gateway/internal/numbered_event_scanner.cc
+++ b/src/gateway/internal/numbered_event_scanner.cc
@@ -51,7 +51,7 @@
   std::size_t search_from = pending_.size() < 2 ? 0 : pending_.size() - 2;
   pending_.append(bytes);
   while (state_ == stream_state::kOpen) {
-    const std::size_t end = EventEnd(pending_, search_from);
+    const std::size_t end = FindEventEnd(pending_, search_from);
     if (end == std::string_view::npos) {
       break;
     }
--- a/src/gateway/internal/openai_dialect.cc
+++ b/src/gateway/internal/openai_dialect.cc
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-void openai_dialect::Prepare(const attempt_terms&, net::http_request&) const {}
+void openai_dialect::Prepare(const attempt_parameters&,
+                             net::http_request&) const {}
 
 head_verdict openai_dialect::Judge(const net::http_response_head& head,
                                    const outgoing_call& call) const {
@@ -41,16 +42,16 @@
   return std::make_unique<sse_scanner>(call.request_name);
 }
 
-answer_summary openai_dialect::Summarise(const outgoing_call& call,
-                                         unsigned status,
-                                         std::string_view body) const {
+response_summary openai_dialect::Summarise(const outgoing_call& call,
+                                           unsigned status,
+                                           std::string_view body) const {
   if (call.spec.kind == call_kind::kServiceCall || status != kOk) {
-    return {.names_request = true};
+    return {.matches_request = true};
   }
-  return SummariseAnswer(body, call.request_name);
+  return SummariseResponse(body, call.request_name);
 }
 
-std::string_view openai_dialect::name_field() const {
+std::string_view openai_dialect::request_id_field() const {
   return kRequestIdField;
 }
 
--- a/src/gateway/internal/openai_dialect.h
+++ b/src/gateway/internal/openai_dialect.h
@@ -7,18 +7,19 @@
 
 class openai_dialect : public i_target_dialect {
  public:
-  void Prepare(const attempt_terms& terms,
+  void Prepare(const attempt_parameters& parameters,
                net::http_request& request) const override;
   [[nodiscard]] head_verdict Judge(const net::http_response_head& head,
                                    const outgoing_call& call) const override;
   [[nodiscard]] std::unique_ptr<i_stream_scanner> MakeScanner(
       const outgoing_call& call,
       const std::optional<std::string>& resume_after) const override;
-  [[nodiscard]] answer_summary Summarise(const outgoing_call& call,
-                                         unsigned status,
-                                         std::string_view body) const override;
-  [[nodiscard]] std::string_view name_field() const override;
-  [[nodiscard]] bool announces_cuts() const override { return true; }
+  [[nodiscard]] response_summary Summarise(
+      const outgoing_call& call,
+      unsigned status,
+      std::string_view body) const override;
+  [[nodiscard]] std::string_view request_id_field() const override;
+  [[nodiscard]] bool signals_truncation() const override { return true; }
   [[nodiscard]] bool fractional_retry_after() const override { return false; }
 };
 
--- a/src/gateway/internal/operator_handler.cc
+++ b/src/gateway/internal/operator_handler.cc
@@ -30,7 +30,7 @@
                                          net::http_request& request) {
   const std::string_view path = request.target();
   reply reply =
-      IsPlatformPath(path) ? AnswerPlatform(path) : AnswerOperator(request);
+      IsPlatformPath(path) ? HandlePlatform(path) : HandleOperator(request);
   net::http_response response(http::int_to_status(reply.status),
                               request.version());
   response.set(http::field::content_type, reply.content_type);
@@ -51,7 +51,7 @@
   connection.Write(response);
 }
 
-operator_handler::reply operator_handler::AnswerPlatform(
+operator_handler::reply operator_handler::HandlePlatform(
     std::string_view path) const {
   if (path == "/metrics") {
     return {.content_type = kText, .body = operations_.Metrics()};
@@ -62,7 +62,7 @@
           .body = ready ? "ok\n" : "draining\n"};
 }
 
-operator_handler::reply operator_handler::AnswerOperator(
+operator_handler::reply operator_handler::HandleOperator(
     const net::http_request& request) const {
   const std::string_view token =
       BearerToken(request[http::field::authorization]);
--- a/src/gateway/internal/problem_document.cc
+++ b/src/gateway/internal/problem_document.cc
@@ -6,7 +6,7 @@
 namespace burdocklock::gateway {
 
 std::string FormatProblem(const refusals::refusal& refusal,
-                          const problem_names& names) {
+                          const problem_ids& names) {
   nlohmann::ordered_json document;
   document["type"] =
       std::string("urn:burdocklock:refusal:") + ToString(refusal.reason);
--- a/src/gateway/internal/problem_document.h
+++ b/src/gateway/internal/problem_document.h
@@ -7,7 +7,7 @@
 
 namespace burdocklock::gateway {
 
-struct problem_names {
+struct problem_ids {
   std::string refusal;
   /// Empty if the request could not be parsed.
   std::string request;
@@ -15,6 +15,6 @@
 
 /// Formats the refusal as a JSON problem document.
 std::string FormatProblem(const refusals::refusal& refusal,
-                          const problem_names& names);
+                          const problem_ids& names);
 
 }  // namespace burdocklock::gateway
--- a/src/gateway/internal/progress_reporter.cc
+++ b/src/gateway/internal/progress_reporter.cc
@@ -9,11 +9,11 @@
                                                request_seq request,
                                                attempt_number attempt)
     : reporter_(reporter), request_(request), attempt_(attempt) {
-  reporter_.Open(*this);
+  reporter_.Register(*this);
 }
 
 attempt_progress_meter::~attempt_progress_meter() {
-  reporter_.Close(*this);
+  reporter_.Unregister(*this);
 }
 
 progress_reporter::progress_reporter(boost::asio::io_context& context,
@@ -26,12 +26,12 @@
   }
 }
 
-void progress_reporter::Open(attempt_progress_meter& meter) {
+void progress_reporter::Register(attempt_progress_meter& meter) {
   meters_.insert(&meter);
   Schedule();
 }
 
-void progress_reporter::Close(attempt_progress_meter& meter) {
+void progress_reporter::Unregister(attempt_progress_meter& meter) {
   meters_.erase(&meter);
   progress_batch batch;
   meter.blocked_ = false;
--- a/src/gateway/internal/prompt_fields.cc
+++ b/src/gateway/internal/prompt_fields.cc
@@ -11,7 +11,7 @@
 constexpr int kHexadecimal = 16;
 
 // Removes and returns the first entry of a comma-separated list.
-std::string_view TakeEntry(std::string_view& list) {
+std::string_view PopListEntry(std::string_view& list) {
   const std::size_t comma = list.find(',');
   const std::string_view entry = list.substr(0, comma);
   list.remove_prefix(comma == std::string_view::npos ? list.size() : comma + 1);
@@ -30,12 +30,12 @@
 std::optional<targets::prompt> ReadPromptFields(std::string_view tokens,
                                                 std::string_view parts) {
   targets::prompt prompt;
-  if (!ParseNumber(TakeEntry(tokens), kDecimal, prompt.input_tokens) ||
-      !ParseNumber(TakeEntry(tokens), kDecimal, prompt.max_output_tokens)) {
+  if (!ParseNumber(PopListEntry(tokens), kDecimal, prompt.input_tokens) ||
+      !ParseNumber(PopListEntry(tokens), kDecimal, prompt.max_output_tokens)) {
     return std::nullopt;
   }
   while (!parts.empty()) {
-    const std::string_view entry = TakeEntry(parts);
+    const std::string_view entry = PopListEntry(parts);
     const std::size_t colon = entry.find(':');
     targets::prompt_part part;
     if (colon == std::string_view::npos ||
--- a/src/gateway/internal/answer_writer.cc
+++ b/src/gateway/internal/response_writer.cc
@@ -1,5 +1,5 @@
 // See the header.
-#include "gateway/internal/answer_writer.h"
+#include "gateway/internal/response_writer.h"
 
 #include <array>
 #include <utility>
@@ -41,41 +41,41 @@
 
 }  // namespace
 
-answer_writer::answer_writer(net::http_connection& connection,
-                             const net::http_request& request,
-                             std::string request_name,
-                             bool keep_alive,
-                             const i_target_dialect& dialect)
+response_writer::response_writer(net::http_connection& connection,
+                                 const net::http_request& request,
+                                 std::string request_name,
+                                 bool keep_alive,
+                                 const i_target_dialect& dialect)
     : connection_(connection),
       version_(request.version()),
       request_name_(std::move(request_name)),
       keep_alive_(keep_alive),
       dialect_(dialect) {}
 
-net::keep_alive answer_writer::keep_alive() const {
+net::keep_alive response_writer::keep_alive() const {
   return keep_alive_ && !failed_ ? net::keep_alive::kYes : net::keep_alive::kNo;
 }
 
-bool answer_writer::Write(net::http_response& response) {
-  SetName(response);
+bool response_writer::Write(net::http_response& response) {
+  SetRequestId(response);
   response.keep_alive(keep_alive_);
   started_ = true;
   return Check(connection_.Write(response));
 }
 
-void answer_writer::SetName(http::fields& fields) const {
+void response_writer::SetRequestId(http::fields& fields) const {
   if (!request_name_.empty()) {
-    fields.set(dialect_.name_field(), request_name_);
+    fields.set(dialect_.request_id_field(), request_name_);
   }
 }
 
-bool answer_writer::Check(bool ok) {
+bool response_writer::Check(bool ok) {
   failed_ |= !ok;
   return ok;
 }
 
-bool answer_writer::WriteWhole(const net::http_response_head& head,
-                               std::string body) {
+bool response_writer::WriteResponse(const net::http_response_head& head,
+                                    std::string body) {
   net::http_response response(http::int_to_status(head.status), version_);
   response.result(head.status);
   CopyFields(head, response);
@@ -83,8 +83,8 @@
   return Write(response);
 }
 
-void answer_writer::CopyFields(const net::http_response_head& head,
-                               http::fields& fields) {
+void response_writer::CopyFields(const net::http_response_head& head,
+                                 http::fields& fields) {
   for (const auto& field : head.fields) {
     if (IsForwarded(field.name())) {
       fields.insert(field.name_string(), field.value());
@@ -92,11 +92,11 @@
   }
 }
 
-bool answer_writer::BeginStream(const net::http_response_head& head) {
+bool response_writer::BeginStream(const net::http_response_head& head) {
   http::response<http::empty_body> response(http::status::ok, version_);
   CopyFields(head, response);
   response.set(http::field::cache_control, "no-cache");
-  SetName(response);
+  SetRequestId(response);
   if (version_ >= kHttp11) {
     response.chunked(true);
   } else {
@@ -112,20 +112,20 @@
   return Check(!written.ec);
 }
 
-bool answer_writer::WriteEvents(std::string_view events) {
+bool response_writer::WriteEvents(std::string_view events) {
   const asio::const_buffer bytes(events.data(), events.size());
   return Check(version_ >= kHttp11
                    ? net::WriteBuffers(connection_, http::make_chunk(bytes))
                    : net::WriteBuffers(connection_, bytes));
 }
 
-bool answer_writer::EndStream() {
+bool response_writer::EndStream() {
   return version_ < kHttp11 ||
          Check(net::WriteBuffers(connection_, http::make_chunk_last()));
 }
 
-bool answer_writer::WriteProblem(const refusals::refusal& refusal,
-                                 const std::string& refusal_name) {
+bool response_writer::WriteProblem(const refusals::refusal& refusal,
+                                   const std::string& refusal_name) {
   net::http_response response(
       http::int_to_status(HttpStatus(refusal.reason, refusal.run)), version_);
   response.set(http::field::content_type, "application/problem+json");
@@ -140,7 +140,7 @@
   return Write(response);
 }
 
-std::string answer_writer::RetryAfter(std::chrono::milliseconds wait) const {
+std::string response_writer::RetryAfter(std::chrono::milliseconds wait) const {
   constexpr std::int64_t kMillisecondsPerSecond = 1000;
   if (dialect_.fractional_retry_after()) {
     std::string text = std::to_string(wait.count() % kMillisecondsPerSecond);
@@ -152,9 +152,9 @@
                         kMillisecondsPerSecond);
 }
 
-bool answer_writer::WriteCut(const refusals::refusal& refusal,
-                             const std::string& refusal_name) {
-  if (!dialect_.announces_cuts()) {
+bool response_writer::WriteTruncation(const refusals::refusal& refusal,
+                                      const std::string& refusal_name) {
+  if (!dialect_.signals_truncation()) {
     keep_alive_ = false;
     return true;
   }
--- a/src/gateway/internal/answer_writer.h
+++ b/src/gateway/internal/response_writer.h
@@ -15,15 +15,15 @@
 
 /// Invariant: at most one response, stream or problem document is started.
 /// After a failed write or a truncation the connection must be closed.
-class answer_writer {
+class response_writer {
  public:
-  answer_writer(net::http_connection& connection,
-                const net::http_request& request,
-                std::string request_name,
-                bool keep_alive,
-                const i_target_dialect& dialect);
+  response_writer(net::http_connection& connection,
+                  const net::http_request& request,
+                  std::string request_name,
+                  bool keep_alive,
+                  const i_target_dialect& dialect);
 
-  bool WriteWhole(const net::http_response_head& head, std::string body);
+  bool WriteResponse(const net::http_response_head& head, std::string body);
   /// Starts a stream with the target's header fields.
   bool BeginStream(const net::http_response_head& head);
   bool WriteEvents(std::string_view events);
@@ -32,8 +32,8 @@
                     const std::string& refusal_name);
   /// Truncates a stream so that the caller can tell that it is incomplete:
   /// sends an error event if the dialect has one, and omits the last chunk.
-  bool WriteCut(const refusals::refusal& refusal,
-                const std::string& refusal_name);
+  bool WriteTruncation(const refusals::refusal& refusal,
+                       const std::string& refusal_name);
 
   /// True once writing to the caller has started.
   [[nodiscard]] bool started() const { return started_; }
@@ -47,7 +47,7 @@
 
  private:
   bool Write(net::http_response& response);
-  void SetName(net::http::fields& fields) const;
+  void SetRequestId(net::http::fields& fields) const;
   static void CopyFields(const net::http_response_head& head,
                          net::http::fields& fields);
   [[nodiscard]] std::string RetryAfter(std::chrono::milliseconds wait) const;
--- a/src/gateway/internal/routed_dialect.cc
+++ b/src/gateway/internal/routed_dialect.cc
@@ -39,20 +39,20 @@
   return request;
 }
 
-void routed_dialect::Prepare(const attempt_terms& terms,
+void routed_dialect::Prepare(const attempt_parameters& parameters,
                              net::http_request& request) const {
-  request.set(fields_.target, terms.target.value());
-  if (terms.time_left) {
+  request.set(fields_.target, parameters.target.value());
+  if (parameters.time_left) {
     const auto left =
-        std::chrono::duration_cast<milliseconds>(*terms.time_left).count();
+        std::chrono::duration_cast<milliseconds>(*parameters.time_left).count();
     request.set(fields_.time_left,
                 std::to_string(std::max<std::int64_t>(left, 1)));
   }
-  if (terms.resume_after) {
-    request.set(fields_.resume_after, *terms.resume_after);
+  if (parameters.resume_after) {
+    request.set(fields_.resume_after, *parameters.resume_after);
   }
-  if (terms.copy_from) {
-    request.set(fields_.copy_from, ToString(*terms.copy_from));
+  if (parameters.copy_from) {
+    request.set(fields_.copy_from, ToString(*parameters.copy_from));
   }
 }
 
@@ -63,10 +63,10 @@
       resume_after ? ParseEventNumber(*resume_after) : std::nullopt);
 }
 
-answer_summary routed_dialect::Summarise(const outgoing_call&,
-                                         unsigned,
-                                         std::string_view) const {
-  return {.names_request = true};
+response_summary routed_dialect::Summarise(const outgoing_call&,
+                                           unsigned,
+                                           std::string_view) const {
+  return {.matches_request = true};
 }
 
 head_verdict routed_dialect::JudgeStatus(const net::http_response_head& head,
--- a/src/gateway/internal/routed_handler.cc
+++ b/src/gateway/internal/routed_handler.cc
@@ -14,13 +14,13 @@
 
 // Retry-After before the first configuration arrives: the usual time for a
 // daemon that has just started to receive its routes.
-constexpr std::chrono::milliseconds kConfigurationWait{500};
+constexpr std::chrono::milliseconds kConfigurationRetryAfter{500};
 
 }  // namespace
 
-routing::request_spec SpecifyCall(const routes::route& route,
-                                  const customer_id& customer,
-                                  const call_facts& facts) {
+routing::request_spec BuildRequestSpec(const routes::route& route,
+                                       const customer_id& customer,
+                                       const call_facts& facts) {
   const bool streamed = route.kind == routes::route_kind::kStreaming;
   routing::request_spec spec{
       .caller_name = facts.name,
@@ -62,7 +62,7 @@
     return calls_.Refuse(connection, request, facts.name,
                          {.request = id,
                           .reason = refusal_reason::kNoConfiguration,
-                          .retry_after = kConfigurationWait});
+                          .retry_after = kConfigurationRetryAfter});
   }
   const routes::route* route = routes->Match(facts.host_name, request.target());
   if (route == nullptr) {
@@ -80,7 +80,7 @@
     }
     customer = owner->customer;
   }
-  outgoing_call call{.spec = SpecifyCall(*route, customer, facts),
+  outgoing_call call{.spec = BuildRequestSpec(*route, customer, facts),
                      .request_name = facts.name,
                      .request = dialect_.BuildTargetRequest(
                          request, {.name = facts.name, .customer = customer})};
--- a/src/gateway/internal/sse_scanner.cc
+++ b/src/gateway/internal/sse_scanner.cc
@@ -64,7 +64,7 @@
                         .output_tokens = count("completion_tokens")};
 }
 
-std::string_view DocumentId(const json& document) {
+std::string_view FindResponseId(const json& document) {
   const auto found = document.find("id");
   if (found == document.end() || !found->is_string()) {
     return {};
@@ -80,24 +80,26 @@
 
 }  // namespace
 
-bool NamesRequest(std::string_view answer_id, std::string_view request_name) {
-  const std::size_t at = answer_id.find(request_name);
+bool MatchesRequest(std::string_view response_id,
+                    std::string_view request_name) {
+  const std::size_t at = response_id.find(request_name);
   if (at == std::string_view::npos || request_name.empty()) {
     return false;
   }
   const std::size_t end = at + request_name.size();
-  return (at == 0 || answer_id[at - 1] == '-') &&
-         (end == answer_id.size() || answer_id[end] == '-');
+  return (at == 0 || response_id[at - 1] == '-') &&
+         (end == response_id.size() || response_id[end] == '-');
 }
 
-answer_summary SummariseAnswer(std::string_view body,
-                               std::string_view request_name) {
+response_summary SummariseResponse(std::string_view body,
+                                   std::string_view request_name) {
   const json document = json::parse(body, nullptr, /*allow_exceptions=*/false);
   if (!document.is_object()) {
     return {};
   }
-  return {.names_request = NamesRequest(DocumentId(document), request_name),
-          .reported_usage = ParseUsage(document)};
+  return {
+      .matches_request = MatchesRequest(FindResponseId(document), request_name),
+      .reported_usage = ParseUsage(document)};
 }
 
 sse_scanner::sse_scanner(std::string request_name)
@@ -114,7 +116,7 @@
   std::size_t search_from = pending_.size() < 2 ? 0 : pending_.size() - 2;
   pending_.append(bytes);
   while (state_ == stream_state::kOpen) {
-    const std::size_t end = EventEnd(pending_, search_from);
+    const std::size_t end = FindEventEnd(pending_, search_from);
     if (end == std::string_view::npos) {
       break;
     }
@@ -143,7 +145,7 @@
   const bool has_usage = data.find("\"usage\":{") != std::string_view::npos;
   if (data.starts_with(kLeadingId) && !has_usage) {
     const std::string_view rest = data.substr(kLeadingId.size());
-    if (NamesRequest(rest.substr(0, rest.find('"')), request_name_)) {
+    if (MatchesRequest(rest.substr(0, rest.find('"')), request_name_)) {
       new_tokens_ += HasOutput(data) ? 1 : 0;
       return;
     }
@@ -157,7 +159,7 @@
     state_ = stream_state::kWrongAnswer;
     return;
   }
-  if (!NamesRequest(DocumentId(document), request_name_)) {
+  if (!MatchesRequest(FindResponseId(document), request_name_)) {
     state_ = document.contains("error") && !document.contains("id")
                  ? stream_state::kTargetError
                  : stream_state::kWrongAnswer;
--- a/src/gateway/internal/target_links.cc
+++ b/src/gateway/internal/target_connections.cc
@@ -1,5 +1,5 @@
 // See the header.
-#include "gateway/target_links.h"
+#include "gateway/target_connections.h"
 
 #include <algorithm>
 
@@ -13,59 +13,62 @@
 
 }  // namespace
 
-target_links::target_links(boost::asio::io_context& context, duration max_idle)
+target_connections::target_connections(boost::asio::io_context& context,
+                                       duration max_idle)
     : context_(context), max_idle_(max_idle), sweep_timer_(context) {}
 
-std::unique_ptr<net::http_client> target_links::Take(const endpoint& address,
-                                                     incarnation life) {
-  const auto found = idle_.find({address, life});
+std::unique_ptr<net::http_client> target_connections::Take(
+    const endpoint& address,
+    incarnation target_incarnation) {
+  const auto found = idle_.find({address, target_incarnation});
   if (found == idle_.end()) {
     return nullptr;
   }
   const time_point now = std::chrono::steady_clock::now();
-  std::vector<idle_link>& links = found->second;
-  while (!links.empty()) {
-    idle_link candidate = std::move(links.back());
-    links.pop_back();
-    if (candidate.until > now && candidate.link->IsQuiet()) {
-      return std::move(candidate.link);
+  std::vector<idle_connection>& connections = found->second;
+  while (!connections.empty()) {
+    idle_connection candidate = std::move(connections.back());
+    connections.pop_back();
+    if (candidate.until > now && candidate.connection->IsQuiet()) {
+      return std::move(candidate.connection);
     }
   }
   idle_.erase(found);
   return nullptr;
 }
 
-void target_links::Put(incarnation life,
-                       std::unique_ptr<net::http_client> link) {
-  link->ExpiresNever();
+void target_connections::Put(incarnation target_incarnation,
+                             std::unique_ptr<net::http_client> connection) {
+  connection->ExpiresNever();
   duration limit = max_idle_;
-  if (const auto stated = link->idle_limit()) {
+  if (const auto stated = connection->idle_limit()) {
     limit = std::min<duration>(limit, *stated - kIdleMargin);
   }
   if (limit <= duration::zero()) {
     return;
   }
-  const key key{link->peer(), life};
-  idle_[key].push_back({.link = std::move(link),
+  const key key{connection->peer(), target_incarnation};
+  idle_[key].push_back({.connection = std::move(connection),
                         .until = std::chrono::steady_clock::now() + limit});
   ScheduleSweep();
 }
 
-void target_links::Clear() {
+void target_connections::Clear() {
   idle_.clear();
   sweep_timer_.cancel();
 }
 
-void target_links::CloseExpired() {
+void target_connections::CloseExpired() {
   const time_point now = std::chrono::steady_clock::now();
   for (auto it = idle_.begin(); it != idle_.end();) {
-    std::erase_if(it->second,
-                  [now](const idle_link& link) { return link.until <= now; });
+    std::erase_if(it->second, [now](const idle_connection& connection) {
+      return connection.until <= now;
+    });
     it = it->second.empty() ? idle_.erase(it) : std::next(it);
   }
 }
 
-void target_links::ScheduleSweep() {
+void target_connections::ScheduleSweep() {
   if (sweep_scheduled_ || idle_.empty()) {
     return;
   }
--- a/src/gateway/internal/traffic_service.cc
+++ b/src/gateway/internal/traffic_service.cc
@@ -41,7 +41,7 @@
         const i_call_dialect* call_dialect,
         std::atomic<std::uint32_t>& connections)
       : options(std::move(opts)),
-        links(io, options.target_idle),
+        idle_connections(io, options.target_idle),
         progress(io, control),
         context{
             .io = io,
@@ -49,7 +49,7 @@
             .dialect = call_dialect != nullptr
                            ? static_cast<const i_target_dialect&>(*call_dialect)
                            : openai,
-            .links = links,
+            .idle_connections = idle_connections,
             .progress = progress,
             .max_answer_bytes = options.max_answer_bytes},
         handler(MakeHandler(call_dialect)),
@@ -75,7 +75,7 @@
 
   gateway_options options;
   openai_dialect openai;
-  target_links links;
+  target_connections idle_connections;
   progress_reporter progress;
   traffic_context context;
   std::unique_ptr<net::i_http_handler> handler;
--- a/src/gateway/numbered_event_scanner.h
+++ b/src/gateway/numbered_event_scanner.h
@@ -25,7 +25,7 @@
       : last_id_(after) {}
 
   std::string_view Feed(std::string_view bytes) override;
-  [[nodiscard]] bool IsWholeAtEnd() const override {
+  [[nodiscard]] bool IsCompleteAtEnd() const override {
     return state_ == stream_state::kOpen && pending_.size() == released_ &&
            last_id_.has_value();
   }
--- a/src/gateway/operator_handler.h
+++ b/src/gateway/operator_handler.h
@@ -26,8 +26,8 @@
     std::string body;
   };
 
-  [[nodiscard]] reply AnswerPlatform(std::string_view path) const;
-  [[nodiscard]] reply AnswerOperator(const net::http_request& request) const;
+  [[nodiscard]] reply HandlePlatform(std::string_view path) const;
+  [[nodiscard]] reply HandleOperator(const net::http_request& request) const;
 
   [[nodiscard]] reply OrderDataCentre(std::string_view rest) const;
 
--- a/src/gateway/progress_reporter.h
+++ b/src/gateway/progress_reporter.h
@@ -59,8 +59,8 @@
  private:
   friend class attempt_progress_meter;
 
-  void Open(attempt_progress_meter& meter);
-  void Close(attempt_progress_meter& meter);
+  void Register(attempt_progress_meter& meter);
+  void Unregister(attempt_progress_meter& meter);
   static void Collect(attempt_progress_meter& meter, progress_batch& batch);
   void ReportAll();
   void Schedule();
--- a/src/gateway/routed_dialect.h
+++ b/src/gateway/routed_dialect.h
@@ -35,20 +35,21 @@
   [[nodiscard]] net::http_request BuildTargetRequest(
       const net::http_request& received,
       const call_identity& identity) const override;
-  void Prepare(const attempt_terms& terms,
+  void Prepare(const attempt_parameters& parameters,
                net::http_request& request) const override;
   /// Streams consist of numbered events.
   [[nodiscard]] std::unique_ptr<i_stream_scanner> MakeScanner(
       const outgoing_call& call,
       const std::optional<std::string>& resume_after) const override;
   /// Always matches: the response header has been checked already.
-  [[nodiscard]] answer_summary Summarise(const outgoing_call& call,
-                                         unsigned status,
-                                         std::string_view body) const override;
-  [[nodiscard]] std::string_view name_field() const override {
+  [[nodiscard]] response_summary Summarise(
+      const outgoing_call& call,
+      unsigned status,
+      std::string_view body) const override;
+  [[nodiscard]] std::string_view request_id_field() const override {
     return fields_.name;
   }
-  [[nodiscard]] bool announces_cuts() const override { return false; }
+  [[nodiscard]] bool signals_truncation() const override { return false; }
 
  protected:
   static constexpr unsigned kOtherTargetStatus = 421;
--- a/src/gateway/routed_handler.h
+++ b/src/gateway/routed_handler.h
@@ -24,8 +24,8 @@
 };
 
 /// Builds the specification of a call on a route; `id` is not set.
-routing::request_spec SpecifyCall(const routes::route& route,
-                                  const customer_id& customer,
-                                  const call_facts& facts);
+routing::request_spec BuildRequestSpec(const routes::route& route,
+                                       const customer_id& customer,
+                                       const call_facts& facts);
 
 }  // namespace burdocklock::gateway
--- a/src/gateway/sse_scanner.h
+++ b/src/gateway/sse_scanner.h
@@ -22,7 +22,7 @@
 
   std::string_view Feed(std::string_view bytes) override;
   /// A complete stream ends with the closing event.
-  [[nodiscard]] bool IsWholeAtEnd() const override {
+  [[nodiscard]] bool IsCompleteAtEnd() const override {
     return state_ == stream_state::kDone;
   }
 
@@ -48,10 +48,11 @@
   std::optional<routing::usage> usage_;
 };
 
-/// True if `answer_id`, such as "chatcmpl-NAME", contains the request ID.
-bool NamesRequest(std::string_view answer_id, std::string_view request_name);
+/// True if `response_id`, such as "chatcmpl-NAME", contains the request ID.
+bool MatchesRequest(std::string_view response_id,
+                    std::string_view request_name);
 
-answer_summary SummariseAnswer(std::string_view body,
-                               std::string_view request_name);
+response_summary SummariseResponse(std::string_view body,
+                                   std::string_view request_name);
 
 }  // namespace burdocklock::gateway
--- a/src/gateway/target_links.h
+++ b/src/gateway/target_connections.h
@@ -19,21 +19,22 @@
 /// Invariants: a pooled connection has no request in flight and no unread data;
 /// it belongs to one incarnation of its target; it has been idle for less than
 /// the idle limit when it is taken.
-class target_links {
+class target_connections {
  public:
-  target_links(boost::asio::io_context& context, duration max_idle);
+  target_connections(boost::asio::io_context& context, duration max_idle);
 
   /// Takes an idle connection to that incarnation; nullptr if there is none
   /// that is known to be usable.
   std::unique_ptr<net::http_client> Take(const endpoint& address,
-                                         incarnation life);
-  void Put(incarnation life, std::unique_ptr<net::http_client> link);
+                                         incarnation target_incarnation);
+  void Put(incarnation target_incarnation,
+           std::unique_ptr<net::http_client> connection);
   /// Closes all idle connections.
   void Clear();
 
  private:
-  struct idle_link {
-    std::unique_ptr<net::http_client> link;
+  struct idle_connection {
+    std::unique_ptr<net::http_client> connection;
     time_point until;
   };
   using key = std::pair<endpoint, incarnation>;
@@ -45,7 +46,7 @@
   duration max_idle_;
   boost::asio::steady_timer sweep_timer_;
   bool sweep_scheduled_ = false;
-  std::map<key, std::vector<idle_link>> idle_;
+  std::map<key, std::vector<idle_connection>> idle_;
 };
 
 }  // namespace burdocklock::gateway
--- a/src/gateway/tests/gateway_unittest.cc
+++ b/src/gateway/tests/gateway_unittest.cc
@@ -236,7 +236,7 @@
       REQUIRE((released.empty() || released.ends_with("\n\n")));
     }
     REQUIRE(released == stream);
-    REQUIRE(scanner.IsWholeAtEnd());
+    REQUIRE(scanner.IsCompleteAtEnd());
     REQUIRE(scanner.last_event_id() == "12");
   }
 }
@@ -245,7 +245,7 @@
                  "numbered events: body ends within an event: not whole") {
   numbered_event_scanner scanner(std::nullopt);
   scanner.Feed(Numbered(0, 2) + "id: 3\ndata: x\n");
-  CHECK_FALSE(scanner.IsWholeAtEnd());
+  CHECK_FALSE(scanner.IsCompleteAtEnd());
   CHECK(scanner.last_event_id() == "2");
 }
 
@@ -279,13 +279,13 @@
                             .max_attempts = 2,
                             .resumable = true};
   call_facts facts{.name = "n", .patience = std::chrono::milliseconds(1000)};
-  auto spec = SpecifyCall(route, customer_id("c"), facts);
+  auto spec = BuildRequestSpec(route, customer_id("c"), facts);
   CHECK(spec.time_limit == std::chrono::milliseconds(1000));
   CHECK(spec.repeatable);
   CHECK(spec.resumable);
   CHECK(spec.max_attempts == 2U);
   facts.patience.reset();
-  spec = SpecifyCall(route, customer_id("c"), facts);
+  spec = BuildRequestSpec(route, customer_id("c"), facts);
   CHECK(spec.time_limit == std::chrono::milliseconds(3000));
 }
 
@@ -293,8 +293,8 @@
   const time_point begin;
   const drain_window window{.notice_end = begin + std::chrono::seconds(2),
                             .cut = begin + std::chrono::seconds(7)};
-  CHECK(window.Takes(begin + std::chrono::seconds(1), std::nullopt));
-  CHECK(window.Takes(begin + std::chrono::seconds(1), std::chrono::hours(1)));
+  CHECK(window.Accepts(begin + std::chrono::seconds(1), std::nullopt));
+  CHECK(window.Accepts(begin + std::chrono::seconds(1), std::chrono::hours(1)));
 }
 
 TEST_CASE(
@@ -307,13 +307,13 @@
         begin + std::chrono::milliseconds(*rc::gen::inRange(2'000, 9'000));
     const auto longest =
         std::chrono::milliseconds(*rc::gen::inRange(0, 20'000));
-    if (window.Takes(now, longest)) {
+    if (window.Accepts(now, longest)) {
       RC_ASSERT(now + longest < window.cut);
     }
   });
-  CHECK(window.Takes(window.notice_end, std::chrono::seconds(1)));
-  CHECK_FALSE(window.Takes(window.notice_end, std::nullopt));
-  CHECK_FALSE(window.Takes(window.cut, std::chrono::milliseconds(0)));
+  CHECK(window.Accepts(window.notice_end, std::chrono::seconds(1)));
+  CHECK_FALSE(window.Accepts(window.notice_end, std::nullopt));
+  CHECK_FALSE(window.Accepts(window.cut, std::chrono::milliseconds(0)));
 }
 
 }  // namespace
--- a/src/gateway/types/drain_window.h
+++ b/src/gateway/types/drain_window.h
@@ -18,12 +18,12 @@
 
   /// Whether a call that takes at most `longest` is accepted at `now`; a call
   /// without a time limit is accepted only before `notice_end`.
-  [[nodiscard]] bool Takes(time_point now,
-                           std::optional<duration> longest) const {
+  [[nodiscard]] bool Accepts(time_point now,
+                             std::optional<duration> longest) const {
     // Time to write the final response after the call's time limit.
-    constexpr std::chrono::milliseconds kAnswerReserve{200};
+    constexpr std::chrono::milliseconds kResponseReserve{200};
     return now < notice_end ||
-           (longest.has_value() && now + *longest + kAnswerReserve <= cut);
+           (longest.has_value() && now + *longest + kResponseReserve <= cut);
   }
 };
 
