--- a/src/gateway/internal/attempt_runner.h
+++ b/src/gateway/internal/attempt_runner.h
@@ -1,4 +1,4 @@
-// One attempt: sends the request to a target and relays the answer.
+// Runs one attempt: sends the request to a target and relays the response.
 #pragma once
 
 #include <memory>
--- a/src/gateway/internal/call_service.h
+++ b/src/gateway/internal/call_service.h
@@ -1,5 +1,4 @@
-// What all interfaces for callers have in common: serving an accepted call and
-// refusing one.
+// Common to all caller interfaces: serves accepted calls and sends refusals.
 #pragma once
 
 #include <string>
--- a/src/gateway/internal/caller_exchange.cc
+++ b/src/gateway/internal/caller_exchange.cc
@@ -138,7 +138,7 @@
                      .sent = false,
                      .delivered = delivered_,
                      .step = "start attempt",
-                     .detail = "the exchange had ended"});
+                     .detail = "the exchange has already ended"});
 }
 
 void caller_exchange::WatchCaller() {
--- a/src/gateway/internal/caller_exchange.h
+++ b/src/gateway/internal/caller_exchange.h
@@ -1,5 +1,5 @@
-// The traffic side of one request: carries out the control thread's orders on
-// the caller's connection.
+// The traffic side of one request: executes the control thread's orders on the
+// caller's connection.
 #pragma once
 
 #include <deque>
--- a/src/gateway/internal/openai_dialect.h
+++ b/src/gateway/internal/openai_dialect.h
@@ -1,4 +1,4 @@
-// The dialect of the OpenAI-style interface and of plain services.
+// Target protocol of the OpenAI-style interface and of plain services.
 #pragma once
 
 #include "gateway/i_target_dialect.h"
--- a/src/gateway/tests/gateway_unittest.cc
+++ b/src/gateway/tests/gateway_unittest.cc
@@ -47,8 +47,9 @@
   std::uint32_t tokens = 0;
 };
 
-TEST_CASE_METHOD(scanner_fixture,
-                 "scanner: own events: released, counted and closed") {
+TEST_CASE_METHOD(
+    scanner_fixture,
+    "scanner: events of this request: released and counted, stream closed") {
   const std::string stream = ": note\n\n" + Event(kName, "a") +
                              Event(kName, "b") + "data: {\"id\":\"chatcmpl-" +
                              kName +
@@ -62,7 +63,7 @@
 }
 
 TEST_CASE_METHOD(scanner_fixture,
-                 "scanner: event of a request whose name is longer: refused") {
+                 "scanner: event of a request with a longer ID: refused") {
   FeedInPieces(Event(kName + "3", "a"), {});
   CHECK(scanner.state() == stream_state::kWrongAnswer);
 }
@@ -77,7 +78,7 @@
 }
 
 TEST_CASE_METHOD(scanner_fixture,
-                 "scanner: error without id: reported as the target's") {
+                 "scanner: error without id: reported as target error") {
   FeedInPieces("data: {\"error\":{\"message\":\"x\"}}\n\n", {});
   CHECK(scanner.state() == stream_state::kTargetError);
 }
@@ -90,31 +91,35 @@
   CHECK(scanner.state() == stream_state::kDone);
 }
 
-TEST_CASE("scanner: any split of a stream: same bytes, nothing foreign") {
-  rc::prop("splits do not matter; foreign events never pass", [] {
-    scanner_fixture fixture;
-    const auto kinds =
-        *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
-    const auto cuts = *rc::gen::container<std::vector<std::size_t>>(
-        rc::gen::inRange<std::size_t>(0, 60));
-    std::string stream;
-    std::string allowed;
-    bool foreign = false;
-    for (const int kind : kinds) {
-      const std::string event =
-          kind == 0 ? Event("other-18c-42", "secret") : Event(kName, "mine");
-      foreign |= kind == 0;
-      stream += event;
-      allowed += foreign ? "" : event;
-    }
-    const std::string released = fixture.FeedInPieces(stream, cuts);
-    RC_ASSERT(released == allowed);
-    RC_ASSERT((fixture.scanner.state() == stream_state::kWrongAnswer) ==
-              foreign);
-  });
+TEST_CASE(
+    "scanner: any split of a stream: same output, no event of other requests") {
+  rc::prop(
+      "output does not depend on splits; events of other requests are dropped",
+      [] {
+        scanner_fixture fixture;
+        const auto kinds =
+            *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 8));
+        const auto cuts = *rc::gen::container<std::vector<std::size_t>>(
+            rc::gen::inRange<std::size_t>(0, 60));
+        std::string stream;
+        std::string allowed;
+        bool foreign = false;
+        for (const int kind : kinds) {
+          const std::string event = kind == 0 ? Event("other-18c-42", "secret")
+                                              : Event(kName, "mine");
+          foreign |= kind == 0;
+          stream += event;
+          allowed += foreign ? "" : event;
+        }
+        const std::string released = fixture.FeedInPieces(stream, cuts);
+        RC_ASSERT(released == allowed);
+        RC_ASSERT((fixture.scanner.state() == stream_state::kWrongAnswer) ==
+                  foreign);
+      });
 }
 
-TEST_CASE("scanner: any bytes: never fatal, nothing unattributed passes") {
+TEST_CASE(
+    "scanner: any bytes: no crash, no event without the request ID passes") {
   rc::prop("no crash", [](const std::string& bytes) {
     sse_scanner scanner(kName);
     const std::string released(scanner.Feed("data: " + bytes + "\n\n"));
@@ -165,7 +170,7 @@
   CHECK(call.spec.repeatable);
 }
 
-TEST_CASE_METHOD(call_fixture, "call: not acceptable: rejected with reason") {
+TEST_CASE_METHOD(call_fixture, "call: invalid: rejected with reason") {
   CHECK(Reason(Parse("POST", kChat, "{")) == refusal_reason::kMalformedRequest);
   CHECK(Reason(Parse("POST", kChat, R"({"model":7,"messages":[]})")) ==
         refusal_reason::kMalformedRequest);
@@ -185,14 +190,14 @@
 }
 
 TEST_CASE_METHOD(call_fixture,
-                 "call: service path: passed on without the prefix") {
+                 "call: service path: forwarded without the prefix") {
   const auto result = Parse("POST", "/services/spares-desk/orders?x=1");
   REQUIRE(std::holds_alternative<parsed_call>(result));
   CHECK(std::get<parsed_call>(result).target_path == "/orders?x=1");
   CHECK(!std::get<parsed_call>(result).spec.repeatable);
 }
 
-TEST_CASE_METHOD(call_fixture, "call: another spelling of a path: rejected") {
+TEST_CASE_METHOD(call_fixture, "call: path not in canonical form: rejected") {
   const std::string path = GENERATE(
       "//orders", "/./orders", "/a/../orders", "/%6frders", "/%2e%2e/orders",
       "/orders%2f7", "/orders/..", "/a\\b", "/orders;x", "/%zz", "/%a");
@@ -200,7 +205,7 @@
         refusal_reason::kMalformedRequest);
 }
 
-TEST_CASE("call: any body: parsed or rejected, never fatal") {
+TEST_CASE("call: any body: rejected without a crash") {
   rc::prop("no crash", [](const std::string& body) {
     call_fixture fixture;
     const auto result = fixture.Parse("POST", kChat, body);
@@ -225,7 +230,7 @@
 };
 
 TEST_CASE_METHOD(numbered_fixture,
-                 "numbered events: cut into any pieces: released whole, in "
+                 "numbered events: split into any pieces: released whole, in "
                  "order") {
   const std::string stream = Numbered(0, 12);
   for (std::size_t size = 1; size < stream.size(); ++size) {
@@ -242,15 +247,16 @@
 }
 
 TEST_CASE_METHOD(numbered_fixture,
-                 "numbered events: body ends within an event: not whole") {
+                 "numbered events: body ends within an event: incomplete") {
   numbered_event_scanner scanner(std::nullopt);
   scanner.Feed(Numbered(0, 2) + "id: 3\ndata: x\n");
   CHECK_FALSE(scanner.IsCompleteAtEnd());
   CHECK(scanner.last_event_id() == "2");
 }
 
-TEST_CASE_METHOD(numbered_fixture,
-                 "numbered events: gap, repeat, no number: stopped there") {
+TEST_CASE_METHOD(
+    numbered_fixture,
+    "numbered events: gap, repeat or missing number: stream stopped") {
   for (const std::string& wrong :
        {Numbered(4, 4), Numbered(2, 2), std::string("data: x\n\n"),
         std::string("id: 3x\ndata: x\n\n")}) {
@@ -263,7 +269,7 @@
 }
 
 TEST_CASE_METHOD(numbered_fixture,
-                 "numbered events: resumed: must go on after the last one") {
+                 "numbered events: resumed: must continue after the last ID") {
   numbered_event_scanner scanner(7);
   CHECK(scanner.Feed(Numbered(8, 9)) == Numbered(8, 9));
   numbered_event_scanner from_start(7);
@@ -271,7 +277,7 @@
   CHECK(from_start.state() == stream_state::kWrongAnswer);
 }
 
-TEST_CASE("call on a route: terms of route and caller: the stricter hold") {
+TEST_CASE("call on a route: limits of route and caller: the stricter applies") {
   const routes::route route{.name = "r",
                             .kind = routes::route_kind::kStreaming,
                             .timeout = std::chrono::milliseconds(3000),
@@ -289,7 +295,7 @@
   CHECK(spec.time_limit == std::chrono::milliseconds(3000));
 }
 
-TEST_CASE("drain window: during the notice: any call is taken") {
+TEST_CASE("drain window: before notice_end: any call is accepted") {
   const time_point begin;
   const drain_window window{.notice_end = begin + std::chrono::seconds(2),
                             .cut = begin + std::chrono::seconds(7)};
@@ -298,11 +304,11 @@
 }
 
 TEST_CASE(
-    "drain window: after the notice: only calls that end before the cut") {
+    "drain window: after notice_end: only calls that end before the cut") {
   const time_point begin;
   const drain_window window{.notice_end = begin + std::chrono::seconds(2),
                             .cut = begin + std::chrono::seconds(7)};
-  rc::prop("a call that is taken ends before the cut", [&] {
+  rc::prop("an accepted call ends before the cut", [&] {
     const auto now =
         begin + std::chrono::milliseconds(*rc::gen::inRange(2'000, 9'000));
     const auto longest =
