--- a/src/gateway/internal/caller_exchange.h
+++ b/src/gateway/internal/caller_exchange.h
@@ -1,5 +1,5 @@
-// The traffic side of one request: carries out the control thread's orders on
-// the caller's connection.
+// The traffic side of one request: executes the control thread's orders on the
+// caller's connection.
 #pragma once
 
 #include <deque>
@@ -10,25 +10,24 @@
 #include "framework/fiber/use_fiber.h"
 #include "framework/net/http_server.h"
 #include "gateway/i_control.h"
-#include "gateway/internal/answer_writer.h"
 #include "gateway/internal/attempt_runner.h"
+#include "gateway/internal/response_writer.h"
 
 namespace burdocklock::gateway {
 
-/// `Run` and everything but `Deliver` happen on the thread of the caller's
-/// connection.
+/// All members except `Deliver` run on the thread of the caller's connection.
 class caller_exchange : public i_exchange,
                         public std::enable_shared_from_this<caller_exchange> {
  public:
   caller_exchange(traffic_context& context,
                   net::http_connection& connection,
                   outgoing_call call,
-                  answer_writer& writer);
+                  response_writer& writer);
 
-  /// Submits the call and blocks the fiber until the caller has its answer or
-  /// is gone.
+  /// Submits the call and blocks the fiber until the response is written or the
+  /// caller disconnects.
   void Run();
-  /// Has a refusal numbered and delivers it.
+  /// Sends a refusal after the control thread has assigned its ID.
   void RunRefused(refusals::refusal refusal);
 
   void Deliver(exchange_order order) override;
@@ -41,23 +40,24 @@
   void Execute(const routing::refuse_request& order);
   void Execute(const routing::forward_error_response& order);
   void Execute(const routing::truncate_response& order);
-  void AnswerUnstarted(const routing::start_attempt& order,
-                       routing::failure_kind kind);
+  void ReportNotStarted(const routing::start_attempt& order,
+                        routing::failure_kind kind);
   void WatchCaller();
   void OnCallerReadable();
   void OnCallerLost();
 
   traffic_context& context_;
-  // Valid, like `writer_`, only while `Run` is on the stack.
+  // Valid, like `writer_`, only while `Run` or `RunRefused` executes.
   net::http_connection& connection_;
   outgoing_call call_;
-  answer_writer& writer_;
-  /// Kept here because the writer may be gone when late orders arrive.
+  response_writer& writer_;
+  /// Copy of `writer_.started()`: the writer may be destroyed when late orders
+  /// arrive.
   bool delivered_ = false;
-  /// The last failure of a target that could be passed on.
-  kept_answer kept_;
-  std::deque<exchange_order> inbox_;
-  fiber_event inbox_changed_;
+  /// The last error response of a target that could be forwarded.
+  saved_response saved_response_;
+  std::deque<exchange_order> pending_orders_;
+  fiber_event pending_orders_changed_;
   attempt_runner* running_ = nullptr;
   attempt_number running_attempt_{0};
   std::optional<attempt_number> cancelled_attempt_;
--- a/src/gateway/internal/answer_writer.h
+++ b/src/gateway/internal/response_writer.h
@@ -1,4 +1,4 @@
-// Writes the one answer of a request to its caller.
+// Writes the response to a request to its caller.
 #pragma once
 
 #include <chrono>
@@ -13,33 +13,33 @@
 
 namespace burdocklock::gateway {
 
-/// Invariant: at most one of a whole answer, a stream and a problem document
-/// is begun. After a failed write or a cut the connection must be closed.
-class answer_writer {
+/// Invariant: at most one response, stream or problem document is started.
+/// After a failed write or a truncation the connection must be closed.
+class response_writer {
  public:
-  answer_writer(net::http_connection& connection,
-                const net::http_request& request,
-                std::string request_name,
-                bool keep_alive,
-                const i_target_dialect& dialect);
+  response_writer(net::http_connection& connection,
+                  const net::http_request& request,
+                  std::string request_name,
+                  bool keep_alive,
+                  const i_target_dialect& dialect);
 
-  bool WriteWhole(const net::http_response_head& head, std::string body);
-  /// Begins a stream with the target's status and fields.
+  bool WriteResponse(const net::http_response_head& head, std::string body);
+  /// Starts a stream with the target's header fields.
   bool BeginStream(const net::http_response_head& head);
   bool WriteEvents(std::string_view events);
   bool EndStream();
   bool WriteProblem(const refusals::refusal& refusal,
                     const std::string& refusal_name);
-  /// Breaks a stream off so that it cannot be taken for whole: with an error
-  /// event if the dialect has one, and without its end.
-  bool WriteCut(const refusals::refusal& refusal,
-                const std::string& refusal_name);
+  /// Truncates a stream so that the caller can tell that it is incomplete:
+  /// sends an error event if the dialect has one, and omits the last chunk.
+  bool WriteTruncation(const refusals::refusal& refusal,
+                       const std::string& refusal_name);
 
-  /// Some byte was passed on to the caller.
+  /// True once writing to the caller has started.
   [[nodiscard]] bool started() const { return started_; }
   [[nodiscard]] bool failed() const { return failed_; }
   [[nodiscard]] net::keep_alive keep_alive() const;
-  /// Id of the last event passed on, where events have ids.
+  /// ID of the last forwarded event, if events have IDs.
   [[nodiscard]] const std::string& last_event_id() const {
     return last_event_id_;
   }
@@ -47,7 +47,7 @@
 
  private:
   bool Write(net::http_response& response);
-  void SetName(net::http::fields& fields) const;
+  void SetRequestId(net::http::fields& fields) const;
   static void CopyFields(const net::http_response_head& head,
                          net::http::fields& fields);
   [[nodiscard]] std::string RetryAfter(std::chrono::milliseconds wait) const;
