--- a/src/app/command_call.h
+++ b/src/app/command_call.h
@@ -1,4 +1,5 @@
-// Commands to a control host that arrive as HTTP requests, whatever their form.
+// Runs control host commands received over HTTP, independent of the interface
+// they arrive on.
 #pragma once
 
 #include <functional>
@@ -11,25 +12,25 @@
 
 namespace burdocklock::app {
 
-/// A reply that tells what was wrong.
+/// Returns an error reply whose JSON body holds `detail`.
 net::json_reply MakeProblem(net::http::status status,
                             const std::string& detail);
 
-/// Runs a command, blocks the fiber until it is done and tells its outcome: a
-/// redirect if another host decides, 503 if the outcome is not known.
+/// Runs a command, blocks the fiber until it completes and returns its outcome:
+/// a redirect if another host is the leader, 503 if the outcome is unknown.
 net::json_reply RunCommand(
     const net::http_request& request,
     const std::function<void(control::command_done done)>& command);
 
-/// Reads and checks the request's body and puts it in force; 400 if it is not
-/// a valid configuration.
+/// Parses and validates the request body and applies it as the configuration;
+/// 400 if it is not a valid configuration.
 net::json_reply RunReplaceConfiguration(
     const net::http_request& request,
     const routes::i_configuration_reader& reader,
     control::i_control_commands& commands);
 
-/// Answers with the newest configuration as it was given; 503 if there is none
-/// or this host cannot be sure which it is.
+/// Returns the latest configuration document unmodified; 503 if there is none
+/// or this host cannot confirm which one is the latest.
 net::json_reply RunReadConfiguration(const net::http_request& request,
                                      control::i_control_commands& commands);
 
--- a/src/app/control_host.h
+++ b/src/app/control_host.h
@@ -1,5 +1,5 @@
-// The daemon of a control host: wires the control node to its disk, its links
-// and its listeners.
+// The daemon of a control host: connects the control node to its log on disk,
+// its links and its listeners.
 #pragma once
 
 #include <memory>
@@ -20,10 +20,10 @@
                settings_source reread);
   ~control_host();
 
-  /// Runs until it is told to stop. `on_started` is called once all listeners
-  /// are bound. Fails if the disk cannot be read or a listener not be bound.
+  /// Runs until stopped. `on_started` is called once all listeners are bound.
+  /// Fails if the log cannot be opened or a listener cannot be bound.
   result<void> Run(const std::function<void()>& on_started);
-  /// Ends it; callable from any thread.
+  /// Stops the daemon; callable from any thread.
   void Stop();
 
  private:
--- a/src/app/control_loop.h
+++ b/src/app/control_loop.h
@@ -1,5 +1,5 @@
-// The control thread: owns the routing decisions, feeds them events in the
-// order of arrival and passes their effects on.
+// The control thread's event loop: owns the request router, passes it events in
+// order of arrival and performs the resulting effects.
 #pragma once
 
 #include <atomic>
@@ -32,15 +32,16 @@
 
 namespace burdocklock::app {
 
-/// The traffic side may call the members of `i_control` from any thread; all
-/// others belong to the thread that runs the io_context.
+/// Members of `i_control` may be called from any thread; all others must be
+/// called on the thread that runs the io_context.
 class control_loop : public gateway::i_control,
                      public gateway::i_operations,
                      public routing::i_routing_observer,
                      public fleet::i_fleet_port {
  public:
-  /// With `adapter`, routes, outages and targets come from control hosts;
-  /// without, targets are leased in a fleet.
+  /// With `adapter`, routes, outages and targets are received from control
+  /// hosts; without it, slots of targets are leased from the fleet's
+  /// coordinators.
   control_loop(boost::asio::io_context& io,
                const config::settings& settings,
                std::shared_ptr<const config::sheet_index> sheet,
@@ -48,20 +49,20 @@
                incarnation life,
                i_logger& logger);
 
-  /// Opens the links to other daemons and begins to take part in the fleet.
+  /// Opens the links to other daemons and joins the fleet.
   result<endpoint> StartFleet();
-  /// Gives all slots back and closes the links.
+  /// Returns all leased slots and closes the links.
   void StopFleet();
-  /// Called once when a drain begins.
+  /// Sets the function that is called once when a drain begins.
   void SetDrainHandler(std::function<void(const std::string& cause)> handler) {
     on_drain_ = std::move(handler);
   }
-  /// Where control hosts are looked for has changed.
+  /// Updates the addresses at which control hosts are contacted.
   void SetControlHosts(const std::vector<endpoint>& hosts);
-  /// Ends all requests that still run and returns how many there were.
-  std::size_t CutRunning();
-  /// Requests waiting or in flight.
-  [[nodiscard]] std::size_t Unfinished() const;
+  /// Aborts all unfinished requests and returns their number.
+  std::size_t AbortUnfinished();
+  /// Returns the number of requests waiting or in flight.
+  [[nodiscard]] std::size_t UnfinishedCount() const;
 
   // i_control
   request_seq NextRequest() override;
@@ -106,7 +107,7 @@
  private:
   using handler = std::function<void(time_point now, routing::effects& out)>;
 
-  // Runs on the control thread: handles one event and its effects.
+  // Schedules `handle` on the control thread; callable from any thread.
   void Post(handler handle);
   void Perform(const routing::effects& effects, time_point now);
   void Perform(const routing::start_attempt& effect, time_point now);
@@ -120,12 +121,12 @@
   void Perform(const routing::ramp_changed& effect, time_point now);
   void Perform(const routing::lease_changed& effect, time_point now);
   void Perform(const routing::coordinator_changed& effect, time_point now);
-  // Runs `handle` now, with what follows from it.
+  // Runs `handle` immediately and performs the resulting effects.
   void Process(const handler& handle);
   bool OnPeerMessage(std::uint64_t link, const std::string& bytes);
   void CheckPlannedOutages(time_point now, routing::effects& out);
   void LogRefusal(const refusals::refusal& refusal);
-  // The caller's own name of a request; this daemon's if it gave none.
+  // The request id given by the caller, or this daemon's id if there is none.
   [[nodiscard]] std::string LogName(request_seq request) const;
   void DeliverTo(request_seq request, gateway::exchange_order order);
   void ArmTimer();
@@ -148,7 +149,7 @@
   seeded_random random_;
   time_point started_;
   routing::request_router router_;
-  // One of these two.
+  // Exactly one of these two is set.
   std::unique_ptr<fleet::fleet_node> node_;
   std::unique_ptr<operator_feed> feed_;
   std::unique_ptr<peer::peer_network> peers_;
@@ -156,7 +157,7 @@
     std::shared_ptr<gateway::i_exchange> exchange;
     std::string caller_name;
   };
-  // Requests that have not ended or whose attempt still runs.
+  // Requests that have not ended or that still have a running attempt.
   std::unordered_map<request_seq, open_exchange> exchanges_;
   boost::asio::steady_timer timer_;
   time_point timer_at_ = kNever;
--- a/src/app/daemon.h
+++ b/src/app/daemon.h
@@ -1,5 +1,4 @@
-// The daemon: wires the modules together and runs them until it is told to
-// stop.
+// The daemon of a router: connects the modules and runs them until stopped.
 #pragma once
 
 #include <functional>
@@ -20,14 +19,14 @@
   endpoint operators;
 };
 
-/// Reads the settings again; they may have changed.
+/// Reads the current settings, which may differ from those read before.
 using settings_source = std::function<result<config::settings>()>;
 
 class daemon {
  public:
-  /// `adapter` serves routed callers; nullptr for the OpenAI-style interface.
-  /// With `reread`, the settings are read again from time to time and on
-  /// SIGHUP.
+  /// `adapter` implements an interface with routes; nullptr selects the
+  /// OpenAI-style interface. With `reread`, the settings are reloaded
+  /// periodically and on SIGHUP.
   daemon(config::settings settings,
          config::sheet sheet,
          i_logger& logger,
@@ -35,8 +34,8 @@
          settings_source reread = {});
   ~daemon();
 
-  /// Runs until a drain is complete. `on_started` is called once all listeners
-  /// are bound. Fails if a listener cannot be bound.
+  /// Runs until a drain has completed. `on_started` is called once all
+  /// listeners are bound. Fails if a listener cannot be bound.
   result<void> Run(
       const std::function<void(const daemon_addresses&)>& on_started);
   /// Begins a graceful shutdown; callable from any thread.
--- a/src/app/i_interface_adapter.h
+++ b/src/app/i_interface_adapter.h
@@ -18,10 +18,11 @@
   [[nodiscard]] virtual const gateway::i_call_dialect& calls() const = 0;
   [[nodiscard]] virtual const routes::i_configuration_reader& configurations()
       const = 0;
-  /// Serves operators and targets at a control host.
+  /// Creates the handler for requests of operators and targets to a control
+  /// host.
   [[nodiscard]] virtual std::unique_ptr<net::i_http_handler> MakeCommandHandler(
       control::i_control_commands& commands) const = 0;
-  /// Answers whether the daemon is ready for callers.
+  /// Creates the handler of the readiness probe.
   [[nodiscard]] virtual std::unique_ptr<net::i_http_handler>
   MakeReadinessHandler(std::function<bool()> is_ready) const = 0;
 };
--- a/src/app/internal/command_call.cc
+++ b/src/app/internal/command_call.cc
@@ -19,7 +19,8 @@
 
 namespace {
 
-command_outcome Await(const std::function<void(command_done done)>& command) {
+command_outcome RunAndWait(
+    const std::function<void(command_done done)>& command) {
   struct pending {
     fiber_event done;
     command_outcome outcome;
@@ -33,8 +34,8 @@
   return state->outcome;
 }
 
-net::json_reply ReplyTo(const command_outcome& outcome,
-                        const net::http_request& request) {
+net::json_reply MakeOutcomeReply(const command_outcome& outcome,
+                                 const net::http_request& request) {
   switch (outcome.status) {
     case command_status::kDone:
       return {};
@@ -63,7 +64,7 @@
 net::json_reply RunCommand(
     const net::http_request& request,
     const std::function<void(command_done done)>& command) {
-  return ReplyTo(Await(command), request);
+  return MakeOutcomeReply(RunAndWait(command), request);
 }
 
 net::json_reply RunReplaceConfiguration(
@@ -86,10 +87,10 @@
 
 net::json_reply RunReadConfiguration(const net::http_request& request,
                                      control::i_control_commands& commands) {
-  command_outcome outcome = Await(
+  command_outcome outcome = RunAndWait(
       [&](command_done done) { commands.ReadConfiguration(std::move(done)); });
   if (outcome.status != command_status::kDone) {
-    return ReplyTo(outcome, request);
+    return MakeOutcomeReply(outcome, request);
   }
   if (outcome.document.empty()) {
     return MakeProblem(http::status::service_unavailable,
--- a/src/app/internal/control_effects.cc
+++ b/src/app/internal/control_effects.cc
@@ -1,5 +1,4 @@
-// Performs the effects of routing decisions: orders to exchanges, log lines
-// and metrics.
+// Performs routing effects: orders to exchanges, log records and metrics.
 #include <algorithm>
 
 #include "app/control_loop.h"
--- a/src/app/internal/control_fleet.cc
+++ b/src/app/internal/control_fleet.cc
@@ -1,4 +1,5 @@
-// The control loop's part in the fleet: links, planned outages, orders.
+// Fleet membership of the control loop: links, planned outages and operators'
+// orders.
 #include <algorithm>
 #include <chrono>
 
@@ -106,7 +107,7 @@
   if (!peers_) {
     return;
   }
-  // Not from within the node's own event.
+  // Deferred because the node calls this while it handles an event.
   boost::asio::post(io_, [this, link] { peers_->Reopen(link.value()); });
 }
 
@@ -123,7 +124,7 @@
 
 bool control_loop::OrderDataCentre(const std::string& data_centre, bool out) {
   if (!node_) {
-    // Only control hosts take such orders.
+    // In this mode only control hosts accept these orders.
     return false;
   }
   const auto& known = sheet_->contents().data_centres;
--- a/src/app/internal/control_host.cc
+++ b/src/app/internal/control_host.cc
@@ -42,11 +42,11 @@
 }  // namespace
 
 struct control_host::state : control::i_control_port, gateway::i_operations {
-  state(config::settings set,
+  state(config::settings initial_settings,
         i_logger& logger,
         const i_interface_adapter& adapter,
         settings_source reread)
-      : settings(std::move(set)),
+      : settings(std::move(initial_settings)),
         logger(logger),
         adapter(adapter),
         random(RandomSeed()),
@@ -109,8 +109,8 @@
   control_links links;
   control_log log;
   std::unique_ptr<storage::log_writer> writer;
-  // When each batch that is not durable yet was handed to the disk.
-  std::map<quorum::batch_number, time_point> writing;
+  // Submission time of each batch that is not durable yet.
+  std::map<quorum::batch_number, time_point> pending_writes;
   std::unique_ptr<control::control_node> node;
   settings_watch watch;
   boost::asio::steady_timer timer;
@@ -251,7 +251,7 @@
           return;
         }
         if (signal == SIGHUP) {
-          watch.ReadAgain("SIGHUP");
+          watch.Reload("SIGHUP");
         } else {
           Drain(signal == SIGTERM ? "SIGTERM" : "SIGINT");
         }
@@ -269,7 +269,7 @@
 
 void control_host::state::ArmTimer() {
   const time_point next = node->NextDeadline();
-  // An earlier timer finds nothing due and arms itself again.
+  // A timer that fires early finds nothing due and is armed again.
   if (stopping || next >= timer_at) {
     return;
   }
@@ -287,17 +287,17 @@
 
 void control_host::state::Store(quorum::batch_number batch,
                                 std::vector<quorum::storage_record> records) {
-  writing.emplace(batch, steady_clock::now());
+  pending_writes.emplace(batch, steady_clock::now());
   writer->Submit(batch, std::move(records));
 }
 
 void control_host::state::OnDurable(quorum::batch_number batch) {
   const time_point now = steady_clock::now();
-  const auto end = writing.upper_bound(batch);
-  for (auto entry = writing.begin(); entry != end; ++entry) {
+  const auto end = pending_writes.upper_bound(batch);
+  for (auto entry = pending_writes.begin(); entry != end; ++entry) {
     log_write_latency.Observe(now - entry->second, now);
   }
-  writing.erase(writing.begin(), end);
+  pending_writes.erase(pending_writes.begin(), end);
   node->OnDurable(batch, now);
   ArmTimer();
 }
--- a/src/app/internal/control_links.cc
+++ b/src/app/internal/control_links.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A snapshot with the largest configuration must fit.
+// Must hold a snapshot with the largest configuration.
 constexpr std::size_t kMaxMessageBytes = 16 * 1024 * 1024;
 constexpr std::uint32_t kReconnectMs = 200;
 
@@ -85,7 +85,7 @@
 }
 
 void control_links::Reopen(control::link_id link) {
-  // Not from within an event of the same link.
+  // Deferred because this may be called while an event of the link is handled.
   boost::asio::post(io_, [this, link] { network_->Reopen(link.value()); });
 }
 
--- a/src/app/internal/control_links.h
+++ b/src/app/internal/control_links.h
@@ -1,4 +1,4 @@
-// Adapter: control messages over WebSocket links.
+// Adapter that sends and receives control messages over WebSocket links.
 #pragma once
 
 #include <cstdint>
--- a/src/app/internal/control_log.cc
+++ b/src/app/internal/control_log.cc
@@ -11,43 +11,43 @@
 
 namespace {
 
-// Ids of first voters have no random part, so that all hosts build the same
-// list from the same addresses.
-constexpr char kFirstLife[] = "#first";
+// Ids of the initial voters have no random part, so that all hosts derive the
+// same member list from the same addresses.
+constexpr char kInitialVoterSuffix[] = "#first";
 
-quorum::member_id FirstId(const endpoint& links) {
-  return quorum::member_id(ToString(links) + kFirstLife);
+quorum::member_id InitialVoterId(const endpoint& links) {
+  return quorum::member_id(ToString(links) + kInitialVoterSuffix);
 }
 
-// The state of a host that has no log: one of the first voters, or a stranger
-// that others must let in.
+// The state of a host without a log: either one of the initial voters, or a new
+// member that the existing members must add.
 quorum::durable_state NewState(const config::settings& settings,
                                std::uint32_t random) {
   const endpoint& own = settings.peer_listener;
   const auto& hosts = settings.control.hosts;
-  quorum::durable_state fresh;
-  const bool is_first =
+  quorum::durable_state state;
+  const bool is_initial_voter =
       std::find(hosts.begin(), hosts.end(), own) != hosts.end();
-  if (!settings.control.first_start || !is_first) {
-    fresh.self =
+  if (!settings.control.first_start || !is_initial_voter) {
+    state.self =
         quorum::member_id(ToString(own) + "#" + std::to_string(random));
-    return fresh;
+    return state;
   }
-  fresh.self = FirstId(own);
-  fresh.base.last_index = quorum::log_index(1);
-  fresh.base.last_term = quorum::term_number(1);
-  fresh.term = quorum::term_number(1);
+  state.self = InitialVoterId(own);
+  state.base.last_index = quorum::log_index(1);
+  state.base.last_term = quorum::term_number(1);
+  state.term = quorum::term_number(1);
   std::vector<endpoint> sorted = hosts;
   std::sort(sorted.begin(), sorted.end());
   for (const endpoint& host : sorted) {
-    fresh.base.members.push_back(
-        {.id = FirstId(host),
+    state.base.members.push_back(
+        {.id = InitialVoterId(host),
          .peer_endpoint = host,
          .command_endpoint = {.address = host.address,
                               .port = settings.commands.port},
          .voter = true});
   }
-  return fresh;
+  return state;
 }
 
 }  // namespace
@@ -59,7 +59,7 @@
   log.file = std::make_unique<storage::log_file>(settings.data_folder);
   auto opened = log.file->Open();
   if (!opened && opened.error().code == error_code::kMalformed) {
-    // What is damaged must not be believed: this host starts as a new one.
+    // A damaged log cannot be trusted, so this host starts as a new member.
     logger.Log(log_record("log_damaged", log_level::kError)
                    .Add("detail", opened.error().Message()));
     if (auto aside = log.file->RenameDamaged(); !aside) {
@@ -79,7 +79,7 @@
                  .Add("base", log.state.base.last_index.value())
                  .Add("entries", log.state.entries.size()));
   if (is_new) {
-    // Nothing is said before this host knows on disk who it is.
+    // The identity must be durable before this host sends any message.
     const auto written = log.file->Write({quorum::rewrite_record{log.state}});
     if (!written) {
       return written.error();
--- a/src/app/internal/control_log.h
+++ b/src/app/internal/control_log.h
@@ -1,4 +1,4 @@
-// What a control host finds on its disk when it starts.
+// Opens the durable log of a control host at startup.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +17,10 @@
   quorum::durable_state state;
 };
 
-/// Opens the log in the settings' data folder. Without one, or if it is
-/// damaged, the host starts with the state of a new member, which is on disk
-/// when this returns; `random` tells that member from earlier ones at its
-/// address. Fails if the folder cannot be read or written.
+/// Opens the log in the data folder named in the settings. If there is none, or
+/// if it is damaged, the host starts with the state of a new member, which is
+/// durable when this returns; `random` distinguishes that member from earlier
+/// ones at the same address. Fails if the folder cannot be read or written.
 result<control_log> OpenControlLog(const config::settings& settings,
                                    std::uint32_t random,
                                    i_logger& logger);
--- a/src/app/internal/control_loop.cc
+++ b/src/app/internal/control_loop.cc
@@ -196,12 +196,12 @@
   });
 }
 
-std::size_t control_loop::Unfinished() const {
+std::size_t control_loop::UnfinishedCount() const {
   return router_.totals().waiting + router_.totals().in_flight;
 }
 
-std::size_t control_loop::CutRunning() {
-  const std::size_t unfinished = Unfinished();
+std::size_t control_loop::AbortUnfinished() {
+  const std::size_t unfinished = UnfinishedCount();
   const time_point now = steady_clock::now();
   routing::effects effects;
   router_.AbortAll(refusals::refusal_reason::kDraining, now, effects);
@@ -215,8 +215,9 @@
   }
   drain_window_ = MakeDrainWindow(settings_.timeouts, steady_clock::now());
   draining_.store(true, std::memory_order_release);
-  logger_.Log(
-      log_record("drain").Add("cause", cause).Add("unfinished", Unfinished()));
+  logger_.Log(log_record("drain")
+                  .Add("cause", cause)
+                  .Add("unfinished", UnfinishedCount()));
   if (node_) {
     node_->BeginLeave(steady_clock::now());
   }
@@ -241,7 +242,7 @@
   const time_point next =
       std::min(router_.NextDeadline(),
                node_ ? node_->NextDeadline() : feed_->NextDeadline());
-  // An earlier timer finds nothing due and arms itself again.
+  // A timer that fires early finds nothing due and is armed again.
   if (next >= timer_at_) {
     return;
   }
--- a/src/app/internal/control_report.h
+++ b/src/app/internal/control_report.h
@@ -1,4 +1,4 @@
-// What operators can ask a control host, as JSON documents.
+// JSON status documents of a control host for operators.
 #pragma once
 
 #include <string>
--- a/src/app/internal/daemon.cc
+++ b/src/app/internal/daemon.cc
@@ -29,10 +29,11 @@
 
 namespace {
 
-// How often the end of the running requests is checked during a drain.
-constexpr std::chrono::milliseconds kDrainCheckPeriod{20};
-// Time for the last answers to be written after the deadline has cut them.
-constexpr std::chrono::seconds kCutGrace{2};
+// Interval at which a drain checks for unfinished requests.
+constexpr std::chrono::milliseconds kDrainPollInterval{20};
+// Time to write the final responses after requests were aborted at the
+// deadline.
+constexpr std::chrono::seconds kAbortGrace{2};
 
 incarnation NewIncarnation() {
   const auto since_epoch = std::chrono::system_clock::now().time_since_epoch();
@@ -75,13 +76,13 @@
   void CloseIdle();
   void RunControl();
   void WatchSignals(boost::asio::signal_set& signals);
-  void FinishRequests();
+  void DrainRequests();
   void StopTraffic();
 
   config::settings settings;
   i_logger& logger;
   const i_interface_adapter* adapter;
-  // Outlives its thread, as the scheduler of a thread refers to it.
+  // Must outlive its thread because the thread's scheduler refers to it.
   boost::asio::io_context control_io{1};
   settings_watch watch;
   control_loop control;
@@ -90,7 +91,7 @@
   std::atomic<std::uint32_t> connections{0};
   std::vector<std::unique_ptr<gateway::traffic_thread>> traffic;
   // Serves callers on the control thread if there are no traffic threads.
-  std::unique_ptr<gateway::traffic_service> own_traffic;
+  std::unique_ptr<gateway::traffic_service> control_thread_traffic;
   std::unique_ptr<net::i_http_handler> readiness_handler;
   std::unique_ptr<net::http_server> readiness;
   fiber_event drain_requested;
@@ -134,9 +135,9 @@
   const gateway::i_call_dialect* dialect =
       adapter != nullptr ? &adapter->calls() : nullptr;
   if (settings.limits.share_control_thread) {
-    own_traffic = std::make_unique<gateway::traffic_service>(
+    control_thread_traffic = std::make_unique<gateway::traffic_service>(
         control_io, options, control, dialect, connections);
-    return own_traffic->Start();
+    return control_thread_traffic->Start();
   }
   for (std::uint32_t i = 0; i < settings.limits.traffic_threads; ++i) {
     traffic.push_back(std::make_unique<gateway::traffic_thread>(
@@ -145,7 +146,7 @@
     if (!bound) {
       return bound;
     }
-    // The first thread may have been given a free port for all.
+    // With port 0, the first thread binds a free port, which the others share.
     options.listen = bound.value();
   }
   return options.listen;
@@ -198,7 +199,7 @@
   watch.Start();
   drain_requested.Wait();
   watch.Stop();
-  FinishRequests();
+  DrainRequests();
   StopTraffic();
   control.StopFleet();
   operator_server.Stop();
@@ -216,10 +217,10 @@
           return;
         }
         if (signal == SIGHUP) {
-          watch.ReadAgain("SIGHUP");
+          watch.Reload("SIGHUP");
         } else if (control.IsDraining()) {
-          // A second signal ends what still runs.
-          const std::size_t cut = control.CutRunning();
+          // A second signal aborts the unfinished requests.
+          const std::size_t cut = control.AbortUnfinished();
           logger.Log(
               log_record("drain_forced", log_level::kWarning).Add("cut", cut));
         } else {
@@ -229,25 +230,26 @@
       });
 }
 
-void daemon::state::FinishRequests() {
+void daemon::state::DrainRequests() {
   const gateway::drain_window window = *control.DrainWindow();
   SleepFor(control_io, window.notice_end - std::chrono::steady_clock::now());
-  // Those who connect from here on are still answered: perhaps no other daemon
-  // takes connections, as when all are restarted one after the other.
+  // New connections are still served: in a rolling restart, there may be no
+  // other daemon that accepts them.
   CloseIdle();
-  while (control.Unfinished() > 0 &&
+  while (control.UnfinishedCount() > 0 &&
          std::chrono::steady_clock::now() < window.cut) {
-    SleepFor(control_io, kDrainCheckPeriod);
+    SleepFor(control_io, kDrainPollInterval);
   }
-  const std::size_t cut = control.CutRunning();
+  const std::size_t cut = control.AbortUnfinished();
   if (cut > 0) {
     logger.Log(
         log_record("drain_deadline", log_level::kWarning).Add("cut", cut));
   }
-  const time_point cut_deadline = std::chrono::steady_clock::now() + kCutGrace;
-  while (control.Unfinished() > 0 &&
-         std::chrono::steady_clock::now() < cut_deadline) {
-    SleepFor(control_io, kDrainCheckPeriod);
+  const time_point abort_deadline =
+      std::chrono::steady_clock::now() + kAbortGrace;
+  while (control.UnfinishedCount() > 0 &&
+         std::chrono::steady_clock::now() < abort_deadline) {
+    SleepFor(control_io, kDrainPollInterval);
   }
 }
 
@@ -255,8 +257,8 @@
   for (const auto& thread : traffic) {
     thread->Stop();
   }
-  if (own_traffic) {
-    own_traffic->Stop();
+  if (control_thread_traffic) {
+    control_thread_traffic->Stop();
   }
 }
 
@@ -264,19 +266,20 @@
   for (const auto& thread : traffic) {
     thread->CloseIdle();
   }
-  if (own_traffic) {
-    own_traffic->CloseIdle();
+  if (control_thread_traffic) {
+    control_thread_traffic->CloseIdle();
   }
 }
 
 void daemon::state::StopTraffic() {
   StopAccepting();
-  // The control thread must go on to answer while they end.
+  // Waits without blocking the control thread, which the remaining connections
+  // need in order to finish.
   while (connections.load() > 0) {
-    SleepFor(control_io, kDrainCheckPeriod);
+    SleepFor(control_io, kDrainPollInterval);
   }
   traffic.clear();
-  own_traffic.reset();
+  control_thread_traffic.reset();
 }
 
 }  // namespace burdocklock::app
--- a/src/app/internal/operator_feed.cc
+++ b/src/app/internal/operator_feed.cc
@@ -16,26 +16,27 @@
 
 namespace {
 
-// Routers assumed until the control hosts have told.
-constexpr std::size_t kAssumedRouters = 4;
-// Callers spread unevenly: a router may use this many times its even part of a
-// target's slots.
+// Number of routers assumed until the control hosts have reported it.
+constexpr std::size_t kDefaultRouterCount = 4;
+// Callers are distributed unevenly, so a router may use this multiple of its
+// equal share of a target's slots.
 constexpr double kSlotHeadroom = 1.6;
-// Part of the fleet's retries that is handed out; the rest covers routers that
-// have restarted and believe to have spent nothing.
-constexpr double kRetryShare = 0.5;
-constexpr std::chrono::milliseconds kLoadPeriod{200};
-// A prompt of this size makes those behind it late unless others know of it.
-constexpr std::uint64_t kTokensWorthReporting = 2000;
-constexpr std::chrono::milliseconds kLeastLoadSpacing{25};
-// The other routers' load counts for this time after it was heard.
-constexpr std::chrono::milliseconds kLoadAge{1500};
+// Fraction of the fleet's retry budget that is distributed to the routers. The
+// rest covers restarted routers, which no longer know what they have spent.
+constexpr double kRetryBudgetFraction = 0.5;
+constexpr std::chrono::milliseconds kLoadReportInterval{200};
+// A prompt of this size delays the requests queued behind it unless the other
+// routers know of it.
+constexpr std::uint64_t kReportThresholdTokens = 2000;
+constexpr std::chrono::milliseconds kMinLoadReportInterval{25};
+// How long the other routers' load stays valid after it was received.
+constexpr std::chrono::milliseconds kOthersLoadTimeout{1500};
 
 control::router_client_options ClientOptions(const config::settings& settings) {
   return {.daemon = settings.daemon, .seeds = settings.control.hosts};
 }
 
-std::uint32_t ShareOfSlots(std::uint32_t slots, std::size_t routers) {
+std::uint32_t RouterSlotShare(std::uint32_t slots, std::size_t routers) {
   const double share =
       std::min(1.0, kSlotHeadroom / static_cast<double>(routers));
   return std::max(1U, static_cast<std::uint32_t>(std::ceil(slots * share)));
@@ -55,7 +56,7 @@
       logger_(logger),
       run_(std::move(run)),
       links_(io, endpoint{}, logger) {
-  SetShares();
+  UpdateRetryBudget();
 }
 
 result<void> operator_feed::Start() {
@@ -98,43 +99,48 @@
   out_ = &out;
   now_ = now;
   client_->OnTick(now);
-  if (now >= load_at_) {
+  if (now >= next_load_report_) {
     ReportLoad(now);
   }
-  if (now - others_heard_ >= kLoadAge && others_heard_ != time_point{}) {
-    // What others do is not known any more.
-    others_heard_ = {};
+  if (now - others_load_received_ >= kOthersLoadTimeout &&
+      others_load_received_ != time_point{}) {
+    // The other routers' load is no longer known.
+    others_load_received_ = {};
     router_.SetOthersLoad({}, now, out);
     router_.mutable_directory().SetLocalBacklogFraction(
-        1.0 / static_cast<double>(routers_ == 0 ? kAssumedRouters : routers_));
+        1.0 / static_cast<double>(router_count_ == 0 ? kDefaultRouterCount
+                                                     : router_count_));
   }
   if (!in_contact_) {
-    // Nothing can be heard of targets either.
+    // Without contact to a control host, no unreported_tokens of targets can
+    // arrive either, so their silence must not count against them.
     router_.mutable_directory().RestartSilenceTimers(now);
   }
   out_ = nullptr;
 }
 
 void operator_feed::ReportLoad(time_point now) {
-  load_at_ = now + kLoadPeriod;
-  load_reported_ = now;
+  next_load_report_ = now + kLoadReportInterval;
+  last_load_report_ = now;
   reported_tokens_ = router_.directory().granted_tokens();
   client_->ReportLoad(router_.OwnLoad(now));
 }
 
 void operator_feed::AfterRouterEvent(time_point now) {
-  const std::uint64_t news =
+  const std::uint64_t unreported_tokens =
       router_.directory().granted_tokens() - reported_tokens_;
-  if (client_ && news >= kTokensWorthReporting) {
-    load_at_ = std::min(load_at_, load_reported_ + kLeastLoadSpacing);
-    if (now >= load_at_) {
+  if (client_ && unreported_tokens >= kReportThresholdTokens) {
+    next_load_report_ =
+        std::min(next_load_report_, last_load_report_ + kMinLoadReportInterval);
+    if (now >= next_load_report_) {
       ReportLoad(now);
     }
   }
 }
 
 time_point operator_feed::NextDeadline() const {
-  return client_ ? std::min(client_->NextDeadline(), load_at_) : kNever;
+  return client_ ? std::min(client_->NextDeadline(), next_load_report_)
+                 : kNever;
 }
 
 void operator_feed::SetControlHosts(std::vector<endpoint> hosts) {
@@ -156,12 +162,12 @@
                   .Add("certain", current));
   if (contents.version != version_) {
     version_ = contents.version;
-    TakeConfiguration(contents.document);
+    ApplyConfiguration(contents.document);
   }
-  TakeOutages(contents.out);
+  ApplyOutages(contents.out);
 }
 
-void operator_feed::TakeConfiguration(const std::string& document) {
+void operator_feed::ApplyConfiguration(const std::string& document) {
   result<routes::configuration> read = reader_.Read(document);
   const result<void> checked =
       read ? routes::Check(read.value()) : result<void>(read.error());
@@ -193,7 +199,7 @@
   routes_ = std::move(table);
 }
 
-void operator_feed::TakeOutages(const std::set<data_centre_id>& out) {
+void operator_feed::ApplyOutages(const std::set<data_centre_id>& out) {
   for (const data_centre_id& data_centre : out) {
     if (!out_of_service_.contains(data_centre)) {
       router_.SetDataCentreOut(data_centre, true, now_, *out_);
@@ -210,10 +216,11 @@
 void operator_feed::OnTarget(const targets::announcement& announcement,
                              time_point heard) {
   targets::announcement scaled = announcement;
-  const std::size_t routers = routers_ == 0 ? kAssumedRouters : routers_;
-  // While the others' work is known, targets are shared by that.
-  if (others_heard_ == time_point{}) {
-    scaled.slots = ShareOfSlots(announcement.slots, routers);
+  const std::size_t routers =
+      router_count_ == 0 ? kDefaultRouterCount : router_count_;
+  // While the other routers' load is known, slots are shared according to it.
+  if (others_load_received_ == time_point{}) {
+    scaled.slots = RouterSlotShare(announcement.slots, routers);
   }
   scaled.cold_slots = std::min(announcement.cold_slots, scaled.slots);
   const targets::announce_result result =
@@ -234,25 +241,26 @@
 }
 
 void operator_feed::OnRouters(const std::vector<daemon_id>& routers) {
-  routers_ = routers.size();
+  router_count_ = routers.size();
   router_.mutable_directory().SetRouters(routers);
-  SetShares();
-  logger_.Log(log_record("routers").Add("count", routers_));
+  UpdateRetryBudget();
+  logger_.Log(log_record("routers").Add("count", router_count_));
 }
 
-void operator_feed::SetShares() {
-  const std::size_t routers = routers_ == 0 ? kAssumedRouters : routers_;
+void operator_feed::UpdateRetryBudget() {
+  const std::size_t routers =
+      router_count_ == 0 ? kDefaultRouterCount : router_count_;
   if (settings_.retries.fleet_budget > 0) {
     router_.SetRetryOptions(
-        {.ratio = settings_.retries.budget_ratio * kRetryShare,
+        {.ratio = settings_.retries.budget_ratio * kRetryBudgetFraction,
          .per_second = 0,
-         .burst = settings_.retries.fleet_budget * kRetryShare /
+         .burst = settings_.retries.fleet_budget * kRetryBudgetFraction /
                   static_cast<double>(routers)});
   }
 }
 
 void operator_feed::OnOthersLoad(const admission::fleet_load& others) {
-  others_heard_ = now_;
+  others_load_received_ = now_;
   router_.SetOthersLoad(others, now_, *out_);
 }
 
--- a/src/app/internal/operator_feed.h
+++ b/src/app/internal/operator_feed.h
@@ -1,4 +1,5 @@
-// Brings what the control hosts tell to this router: routes, outages, targets.
+// Receives routes, outages and targets from the control hosts and applies them
+// to this router.
 #pragma once
 
 #include <functional>
@@ -28,7 +29,7 @@
 class operator_feed : public control::i_router_view {
  public:
   using event = std::function<void(time_point now, routing::effects& out)>;
-  /// Runs an event with what follows from it.
+  /// Runs an event and performs the resulting effects.
   using event_runner = std::function<void(const event& event)>;
 
   operator_feed(boost::asio::io_context& io,
@@ -41,14 +42,14 @@
   result<void> Start();
   void Stop();
   void OnTick(time_point now, routing::effects& out);
-  /// Call after every event of the router: tells the other routers at once when
-  /// much has been sent.
+  /// Must be called after every event of the router. Reports this router's load
+  /// ahead of schedule if many tokens were granted since the last report.
   void AfterRouterEvent(time_point now);
   [[nodiscard]] time_point NextDeadline() const;
   void SetControlHosts(std::vector<endpoint> hosts);
 
-  /// The routes in force; nullptr until they are known. Callable from any
-  /// thread.
+  /// The current routes; nullptr until they have been received. Callable from
+  /// any thread.
   [[nodiscard]] std::shared_ptr<const routes::route_index> Routes() const;
   [[nodiscard]] const peer::peer_traffic& traffic() const {
     return links_.traffic();
@@ -65,11 +66,11 @@
   void OnOthersLoad(const admission::fleet_load& others) override;
 
  private:
-  // Runs `handle` as an event, with `out_` and `now_` set.
+  // Runs `handle` as an event with `out_` and `now_` set.
   void Run(const std::function<void(time_point now)>& handle);
-  void TakeConfiguration(const std::string& document);
-  void TakeOutages(const std::set<data_centre_id>& out);
-  void SetShares();
+  void ApplyConfiguration(const std::string& document);
+  void ApplyOutages(const std::set<data_centre_id>& out);
+  void UpdateRetryBudget();
   void ReportLoad(time_point now);
 
   const config::settings& settings_;
@@ -78,19 +79,19 @@
   i_logger& logger_;
   event_runner run_;
   control_links links_;
-  /// Set once started.
+  /// Set by Start().
   std::unique_ptr<control::router_client> client_;
   std::set<data_centre_id> out_of_service_;
-  std::size_t routers_ = 0;
-  time_point load_at_{};
-  time_point load_reported_{};
-  /// The directory's count of granted tokens at the last report.
+  std::size_t router_count_ = 0;
+  time_point next_load_report_{};
+  time_point last_load_report_{};
+  /// The directory's granted token count at the last load report.
   std::uint64_t reported_tokens_ = 0;
-  /// When the other routers' load was last heard.
-  time_point others_heard_{};
+  /// When the other routers' load was last received; default if it is unknown.
+  time_point others_load_received_{};
   std::uint64_t version_ = 0;
   bool in_contact_ = false;
-  // Of the event that is being handled.
+  // Effects and time of the event being handled.
   routing::effects* out_ = nullptr;
   time_point now_{};
 
--- a/src/app/internal/router_options.cc
+++ b/src/app/internal/router_options.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-// Tries beyond the attempts that may have run: a target that did not run a
-// request costs only the way there.
+// Additional tries beyond the attempts that may have run: a target that did not
+// run a request costs only the trip to it.
 constexpr std::uint32_t kExtraTries = 2;
-// With routes, how long a call waits for a target of a service that has none.
+// With routes, how long a call waits for a service that has no target.
 constexpr std::chrono::milliseconds kNoTargetWait{300};
-// Of the time for a whole shutdown, what is kept for ending after the last
-// requests were cut.
-constexpr std::chrono::milliseconds kEndReserve{600};
+// Part of the shutdown time that is reserved for teardown after the last
+// requests were aborted.
+constexpr std::chrono::milliseconds kTeardownReserve{600};
 
 }  // namespace
 
@@ -70,7 +70,8 @@
             .cut = notice_end + timeouts.drain_deadline};
   }
   return {.notice_end = notice_end,
-          .cut = std::max(notice_end, begin + timeouts.shutdown - kEndReserve)};
+          .cut = std::max(notice_end,
+                          begin + timeouts.shutdown - kTeardownReserve)};
 }
 
 fleet::fleet_options MakeFleetOptions(const config::settings& settings,
--- a/src/app/internal/router_options.h
+++ b/src/app/internal/router_options.h
@@ -1,4 +1,4 @@
-// Maps settings to the options of the decision modules.
+// Converts settings to the options of the individual modules.
 #pragma once
 
 #include "config/types/settings.h"
--- a/src/app/internal/settings_watch.cc
+++ b/src/app/internal/settings_watch.cc
@@ -8,8 +8,9 @@
 
 namespace {
 
-// How soon a change without a signal is noticed.
-constexpr std::chrono::seconds kPeriod{2};
+// Interval at which settings are polled; bounds the delay until a change made
+// without a signal is detected.
+constexpr std::chrono::seconds kPollInterval{2};
 
 }  // namespace
 
@@ -27,7 +28,7 @@
     return;
   }
   if (const auto current = reread_()) {
-    known_ = current.value();
+    current_ = current.value();
   }
   Schedule();
 }
@@ -37,17 +38,17 @@
 }
 
 void settings_watch::Schedule() {
-  timer_.expires_after(kPeriod);
+  timer_.expires_after(kPollInterval);
   timer_.async_wait([this](const boost::system::error_code& ec) {
     if (ec) {
       return;
     }
-    ReadAgain("period");
+    Reload("period");
     Schedule();
   });
 }
 
-void settings_watch::ReadAgain(const std::string& cause) {
+void settings_watch::Reload(const std::string& cause) {
   if (!reread_) {
     return;
   }
@@ -58,14 +59,14 @@
                     .Add("detail", read.error().Message()));
     return;
   }
-  if (read.value() == known_) {
+  if (read.value() == current_) {
     return;
   }
-  known_ = read.value();
+  current_ = read.value();
   logger_.Log(log_record("settings_reloaded")
                   .Add("cause", cause)
-                  .Add("control_hosts", known_.control.hosts.size()));
-  on_change_(known_);
+                  .Add("control_hosts", current_.control.hosts.size()));
+  on_change_(current_);
 }
 
 }  // namespace burdocklock::app
--- a/src/app/internal/settings_watch.h
+++ b/src/app/internal/settings_watch.h
@@ -1,4 +1,4 @@
-// Notices changed settings, with or without a signal.
+// Detects changed settings by polling and on request.
 #pragma once
 
 #include <functional>
@@ -18,7 +18,7 @@
  public:
   using change_handler = std::function<void(const config::settings& changed)>;
 
-  /// Does nothing without `reread`.
+  /// Without `reread`, the watch does nothing.
   settings_watch(boost::asio::io_context& io,
                  settings_source reread,
                  i_logger& logger,
@@ -26,8 +26,8 @@
 
   void Start();
   void Stop();
-  /// Reads the settings now; `cause` is for the log.
-  void ReadAgain(const std::string& cause);
+  /// Reads the settings immediately; `cause` is written to the log.
+  void Reload(const std::string& cause);
 
  private:
   void Schedule();
@@ -36,7 +36,7 @@
   i_logger& logger_;
   change_handler on_change_;
   boost::asio::steady_timer timer_;
-  config::settings known_;
+  config::settings current_;
 };
 
 }  // namespace burdocklock::app
--- a/src/app/internal/status_report.cc
+++ b/src/app/internal/status_report.cc
@@ -1,4 +1,4 @@
-// The JSON documents that operators read.
+// JSON status documents of the control loop for operators.
 #include <chrono>
 
 #include <nlohmann/json.hpp>
@@ -40,8 +40,8 @@
 
 }  // namespace
 
-// A coordinator knows all targets of its data centre; any router knows those
-// of which it holds slots.
+// A coordinator knows all targets of its data centre; other routers know only
+// the targets on which they hold slots.
 std::vector<targets::target_view> control_loop::TargetViews(
     time_point now) const {
   if (!node_) {
--- a/src/app/internal/timed_commands.cc
+++ b/src/app/internal/timed_commands.cc
@@ -17,7 +17,7 @@
     : node_(node),
       logger_(logger),
       metrics_(metrics),
-      after_(std::move(after)) {}
+      after_command_(std::move(after)) {}
 
 void timed_commands::ReplaceConfiguration(std::uint64_t version,
                                           std::string document,
@@ -25,44 +25,45 @@
   node_.SetTime(steady_clock::now());
   node_.ReplaceConfiguration(
       version, std::move(document),
-      Logged("replace_configuration",
-             log_record("command").Add("version", version), std::move(done)));
-  after_();
+      WithOutcomeLog("replace_configuration",
+                     log_record("command").Add("version", version),
+                     std::move(done)));
+  after_command_();
 }
 
 void timed_commands::ReadConfiguration(command_done done) {
   node_.SetTime(steady_clock::now());
-  node_.ReadConfiguration(Measured("read_configuration", std::move(done)));
-  after_();
+  node_.ReadConfiguration(WithLatency("read_configuration", std::move(done)));
+  after_command_();
 }
 
 void timed_commands::SetOutage(const data_centre_id& data_centre,
                                bool out,
                                command_done done) {
   node_.SetTime(steady_clock::now());
-  node_.SetOutage(
-      data_centre, out,
-      Logged(out ? "take_out" : "take_back",
-             log_record("command").Add("data_centre", data_centre.value()),
-             std::move(done)));
-  after_();
+  node_.SetOutage(data_centre, out,
+                  WithOutcomeLog(out ? "take_out" : "take_back",
+                                 log_record("command").Add("data_centre",
+                                                           data_centre.value()),
+                                 std::move(done)));
+  after_command_();
 }
 
 void timed_commands::Announce(const targets::announcement& announcement) {
   node_.SetTime(steady_clock::now());
   node_.Announce(announcement);
-  after_();
+  after_command_();
 }
 
 void timed_commands::Withdraw(const target_id& target,
                               std::optional<incarnation> life) {
   node_.SetTime(steady_clock::now());
   node_.Withdraw(target, life);
-  after_();
+  after_command_();
 }
 
-command_done timed_commands::Measured(const std::string& name,
-                                      command_done done) {
+command_done timed_commands::WithLatency(const std::string& name,
+                                         command_done done) {
   latency_histogram& latency =
       metrics_.Latency("burdocklock_command_seconds", {{"command", name}});
   return [&latency, begin = steady_clock::now(),
@@ -73,11 +74,11 @@
   };
 }
 
-command_done timed_commands::Logged(const std::string& name,
-                                    log_record record,
-                                    command_done done) {
+command_done timed_commands::WithOutcomeLog(const std::string& name,
+                                            log_record record,
+                                            command_done done) {
   record.Add("command", name);
-  return Measured(
+  return WithLatency(
       name, [this, record = std::move(record), begin = steady_clock::now(),
              done = std::move(done)](const command_outcome& outcome) mutable {
         logger_.Log(
--- a/src/app/internal/timed_commands.h
+++ b/src/app/internal/timed_commands.h
@@ -1,5 +1,5 @@
-// The operators' commands on their way to the control node: each is given its
-// time, and its outcome is logged and measured.
+// Forwards commands to the control node: sets the node's time, logs the outcome
+// and records the latency.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 
 class timed_commands : public control::i_control_commands {
  public:
-  /// `after` is called after each command, as it may have moved the node's next
-  /// deadline. All references must outlive this object.
+  /// `after` is called after each command, because the command may have changed
+  /// the node's next deadline. All references must outlive this object.
   timed_commands(control::control_node& node,
                  i_logger& logger,
                  metric_registry& metrics,
@@ -35,18 +35,18 @@
                 std::optional<incarnation> life) override;
 
  private:
-  // Measures how long the command called `name` takes to its outcome.
-  control::command_done Measured(const std::string& name,
-                                 control::command_done done);
-  // Logs the outcome beside what `record` says, and measures as above.
-  control::command_done Logged(const std::string& name,
-                               log_record record,
-                               control::command_done done);
+  // Wraps `done` to record the latency of the command `name`.
+  control::command_done WithLatency(const std::string& name,
+                                    control::command_done done);
+  // Wraps `done` to add the outcome to `record`, log it and record the latency.
+  control::command_done WithOutcomeLog(const std::string& name,
+                                       log_record record,
+                                       control::command_done done);
 
   control::control_node& node_;
   i_logger& logger_;
   metric_registry& metrics_;
-  std::function<void()> after_;
+  std::function<void()> after_command_;
 };
 
 }  // namespace burdocklock::app
--- a/src/app/main.cc
+++ b/src/app/main.cc
@@ -1,4 +1,4 @@
-// Command line of burdocklockd.
+// Command-line entry point of burdocklockd.
 #include <algorithm>
 #include <iostream>
 #include <memory>
@@ -22,7 +22,7 @@
 
 using burdocklock::error;
 
-int Fail(const error& problem, int exit_code) {
+int ReportFailure(const error& problem, int exit_code) {
   std::cerr << "burdocklockd: " << problem.Message() << '\n';
   return exit_code;
 }
@@ -37,7 +37,7 @@
          settings.roles.end();
 }
 
-// nullptr for the interface that needs none.
+// Returns nullptr for the OpenAI-style interface, which needs no adapter.
 std::unique_ptr<i_interface_adapter> MakeAdapter(const settings& settings) {
   switch (settings.interface) {
     case caller_interface::kOpenai:
@@ -64,7 +64,7 @@
               << "\",\"operators\":\"" << ToString(addresses.operators) << "\"}"
               << std::endl;
   });
-  return run ? kExitOk : Fail(run.error(), kExitCannotRun);
+  return run ? kExitOk : ReportFailure(run.error(), kExitCannotRun);
 }
 
 int RunControlHost(const settings& settings,
@@ -76,13 +76,13 @@
     std::cout << "{\"commands\":\"" << ToString(settings.commands) << "\"}"
               << std::endl;
   });
-  return run ? kExitOk : Fail(run.error(), kExitCannotRun);
+  return run ? kExitOk : ReportFailure(run.error(), kExitCannotRun);
 }
 
 int RunDaemon(const std::string& settings_path, bool check_only) {
   auto read = burdocklock::config::ReadSettings(settings_path);
   if (!read) {
-    return Fail(read.error(), kExitBadConfig);
+    return ReportFailure(read.error(), kExitBadConfig);
   }
   const settings& settings = read.value();
   const bool routed = burdocklock::config::HasRoutes(settings.interface);
@@ -90,7 +90,7 @@
   if (!routed) {
     auto sheet_read = burdocklock::config::ReadSheet(settings.sheet_path);
     if (!sheet_read) {
-      return Fail(sheet_read.error(), kExitBadConfig);
+      return ReportFailure(sheet_read.error(), kExitBadConfig);
     }
     sheet = sheet_read.value();
   }
--- a/src/app/readiness_handler.h
+++ b/src/app/readiness_handler.h
@@ -1,4 +1,4 @@
-// Answers whether a router takes callers, at one path.
+// HTTP readiness probe: reports at one path whether a router accepts callers.
 #pragma once
 
 #include <functional>
