--- a/src/gateway/internal/attempt_runner.cc
+++ b/src/gateway/internal/attempt_runner.cc
@@ -123,7 +123,7 @@
     return ReceiveResponse(head.value());
   }
   return Fail(failure_kind::kWrongAnswer, "read head",
-              "received only responses to other requests");
+              "only answers to other requests");
 }
 
 std::optional<attempt_failed> attempt_runner::CheckHead(
@@ -143,7 +143,7 @@
     case head_verdict::kOtherRequest:
     case head_verdict::kMalformed:
       return Fail(failure_kind::kWrongAnswer, "read head",
-                  status + " is not a response to this request");
+                  status + " does not answer this request");
   }
   // A partly forwarded stream can only be continued by another stream.
   if (order_.resumes && !IsEventStream(head)) {
@@ -160,8 +160,7 @@
       return FailFrom(read.error());
     }
     if (body.size() + read.value() > context_.max_answer_bytes) {
-      return Fail(failure_kind::kAnswerTooLarge, "read answer",
-                  "the response exceeds the size limit");
+      return Fail(failure_kind::kAnswerTooLarge, "read answer", "too large");
     }
     body.append(piece.data(), read.value());
     meter_->Add(0);
@@ -180,7 +179,7 @@
       context_.dialect.Summarise(call_, head.status, body);
   if (!summary.matches_request) {
     return Fail(failure_kind::kWrongAnswer, "read answer",
-                "the body does not contain this request's ID");
+                "the body does not name this request");
   }
   ReleaseConnection();
   if (!writer_.WriteResponse(head, std::move(body))) {
@@ -238,7 +237,7 @@
   }
   if (!scanner.IsCompleteAtEnd() || !writer_.started()) {
     return Fail(failure_kind::kBroken, "read stream",
-                "the stream ended before it was complete");
+                "ended before it was whole");
   }
   if (!writer_.EndStream()) {
     return Fail(failure_kind::kCallerLost, "write stream", "caller lost");
--- a/src/gateway/internal/call_parser.cc
+++ b/src/gateway/internal/call_parser.cc
@@ -180,7 +180,8 @@
   if (input.path.starts_with(kServices)) {
     return ParseServiceCall(input, *customer, sheet);
   }
-  return Reject(*customer, refusal_reason::kUnknownPool, "unknown path");
+  return Reject(*customer, refusal_reason::kUnknownPool,
+                "there is nothing at this path");
 }
 
 }  // namespace burdocklock::gateway
--- a/src/route_interface/internal/command_handler.cc
+++ b/src/route_interface/internal/command_handler.cc
@@ -56,7 +56,7 @@
   const bool is_target_path = path.starts_with(kTargetsPath);
   if (!HasAcceptedToken(request,
                         is_target_path ? tokens_.targets : tokens_.operators)) {
-    return MakeProblem(http::status::unauthorized, "unknown bearer token");
+    return MakeProblem(http::status::unauthorized, "the token is not known");
   }
   if (is_target_path) {
     return HandleTargetCommand(request);
@@ -68,7 +68,7 @@
       path.starts_with(kDataCentresPath)) {
     return HandleOutage(request, path.substr(kDataCentresPath.size()));
   }
-  return MakeProblem(http::status::not_found, "no such resource");
+  return MakeProblem(http::status::not_found, "there is nothing here");
 }
 
 net::json_reply command_handler::HandleTargetCommand(
@@ -81,7 +81,7 @@
       request.target() == kWithdrawPath) {
     return HandleWithdraw(request);
   }
-  return MakeProblem(http::status::not_found, "no such resource");
+  return MakeProblem(http::status::not_found, "there is nothing here");
 }
 
 net::json_reply command_handler::HandleConfiguration(
@@ -104,7 +104,7 @@
   const std::string_view action =
       slash == std::string_view::npos ? "" : path_suffix.substr(slash + 1);
   if (action != "out" && action != "in") {
-    return MakeProblem(http::status::not_found, "the action must be out or in");
+    return MakeProblem(http::status::not_found, "the order must be out or in");
   }
   return app::RunCommand(request, [&](control::command_done done) {
     commands_.SetOutage(
@@ -121,9 +121,8 @@
                        announcement.error().Message());
   }
   if (announcement.value().sequence == 0) {
-    return MakeProblem(
-        http::status::bad_request,
-        "sequence: must start at 1 and increase with each announcement");
+    return MakeProblem(http::status::bad_request,
+                       "sequence: must rise with each announcement, from 1");
   }
   commands_.Announce(announcement.value());
   return {};
--- a/src/routes/internal/configuration_checks.cc
+++ b/src/routes/internal/configuration_checks.cc
@@ -46,7 +46,7 @@
   }
   if (total_weight == 0) {
     return InvalidConfiguration("route " + route.name +
-                                ": the weights sum to zero");
+                                ": the weights add up to zero");
   }
   return Success();
 }
@@ -61,7 +61,7 @@
     if (!seen_prefixes.emplace(route.host_name, route.path_prefix).second) {
       return InvalidConfiguration(
           "route " + route.name +
-          ": another route has the same host name and prefix");
+          ": another route has this host name and prefix");
     }
   }
   return Success();
@@ -73,7 +73,7 @@
   for (const route_customer& customer : configuration.customers) {
     if (!seen_customers.insert(customer.customer).second) {
       return InvalidConfiguration("customer " + customer.customer.value() +
-                                  " is defined twice");
+                                  " is named twice");
     }
     for (const std::string& key : customer.api_keys) {
       const auto [owner, added] = key_owners.emplace(key, customer.customer);
@@ -94,7 +94,7 @@
   for (const service_terms& terms : configuration.services) {
     if (!services.insert(terms.service).second) {
       return InvalidConfiguration("service " + terms.service.value() +
-                                  " is defined twice");
+                                  " is named twice");
     }
   }
   if (auto checked = CheckRoutes(configuration, services); !checked) {
